--- a/packages/fleet/src/adapterplans.ts
+++ b/packages/fleet/src/adapterplans.ts
@@ -1,39 +1,39 @@
-/** Which adapters are worth loading now, and which give up their places. */
+/** Plans loads of adapters, and the unloads that make room for them. */
 import { type ItemNeed } from "./demands.js";
 import { type PlannedEngine, type PlannedOrder } from "./plans.js";
 import { type PlanState } from "./planstates.js";
 
-/** Requests for one adapter that run on one engine before it is loaded on another: a share of its slots. */
-const adapterFullShare = 0.25;
-/** An adapter that was asked for in this time keeps its place, unless all places are as busy. */
-const adapterIdleMs = 1500;
-/** What a held adapter adds to its engine's demand beside its own, in requests a second: places are spread evenly. */
-const perHeldAdapter = 0.5;
+/** Share of an engine's request slots that one adapter may use before it is loaded on another engine. */
+const slotShareBeforeReplication = 0.25;
+/** An adapter that was requested within this time stays loaded. */
+const adapterIdleThresholdMs = 1500;
+/** Requests a second that each loaded adapter adds to its engine's adapter demand, to spread adapters evenly. */
+const baseRatePerAdapter = 0.5;
 
 export class AdapterPlanner {
-    /** Adapters that requests wait for and no engine has. */
-    private lacking: readonly ItemNeed[] | undefined;
+    /** Demand for adapters that have unserved requests and are loaded nowhere; computed on first use. */
+    private unservedNeeds: readonly ItemNeed[] | undefined;
 
     public constructor(private readonly state: PlanState) {}
 
-    /** Loads of adapters that somebody asks for and no ready engine holds, or too few do. */
+    /** Orders for adapters that are in demand and loaded on too few ready engines. */
     public orders(): PlannedOrder[] {
-        const wanted = this.state.input.needs
-            .filter(need => need.key.adapter !== "" && (need.lacking > 0 || need.idleMs < adapterIdleMs))
+        const candidates = this.state.input.needs
+            .filter(need => need.key.adapter !== "" && (need.lacking > 0 || need.idleMs < adapterIdleThresholdMs))
             .sort((a, b) => b.lacking - a.lacking || b.rate - a.rate);
-        return wanted.flatMap(need => this.orderFor(need) ?? []);
+        return candidates.flatMap(need => this.orderFor(need) ?? []);
     }
 
     /**
-     * Whether an engine has places for adapters of its models that are waited
-     * for: it takes no orders for them while it loads a model.
+     * Whether an engine could load an adapter that has unserved requests. It accepts no adapter orders while
+     * it loads a model.
      */
-    public lacksAdapters(engine: PlannedEngine): boolean {
-        this.lacking ??= this.state.input.needs.filter(({ key, lacking }) =>
-            key.adapter !== "" && lacking > 0 && !this.isAnywhere(key.model, key.adapter)
+    public hasUnservedAdapters(engine: PlannedEngine): boolean {
+        this.unservedNeeds ??= this.state.input.needs.filter(({ key, lacking }) =>
+            key.adapter !== "" && lacking > 0 && !this.isLoadedAnywhere(key.model, key.adapter)
         );
-        return this.lacking.some(need =>
-            engine.models.get(need.key.model)?.ready === true && this.place(engine, need) !== undefined
+        return this.unservedNeeds.some(need =>
+            engine.models.get(need.key.model)?.ready === true && this.placementOrder(engine, need) !== undefined
         );
     }
 
@@ -42,38 +42,42 @@
         const { state } = this;
         const holders = state.holders(model).filter(engine => engine.models.get(model)!.ready);
         const stageAt = (engine: PlannedEngine) => engine.models.get(model)!.adapters.get(adapter);
-        const having = holders.filter(engine => stageAt(engine) === "coming" || stageAt(engine) === "held");
-        const enough = having.length >= 1 + Math.floor(need.running / (state.input.spec.slots * adapterFullShare));
-        if (enough && having.length > 0) {
+        const replicas = holders.filter(engine => stageAt(engine) === "coming" || stageAt(engine) === "held");
+        const isSufficient =
+            replicas.length >= 1 + Math.floor(need.running / (state.input.spec.slots * slotShareBeforeReplication));
+        if (isSufficient && replicas.length > 0) {
             return undefined;
         }
         const candidates = holders
-            .filter(engine => stageAt(engine) === undefined && engine.freeTransits > 0 && !state.taken.has(engine.id))
-            .sort((a, b) => this.pressure(a) - this.pressure(b));
+            .filter(engine =>
+                stageAt(engine) === undefined && engine.freeTransits > 0 && !state.assignedEngines.has(engine.id)
+            )
+            .sort((a, b) => this.adapterDemand(a) - this.adapterDemand(b));
         for (const engine of candidates) {
-            const order = this.place(engine, need);
+            const order = this.placementOrder(engine, need);
             if (order !== undefined) {
-                state.taken.add(engine.id);
+                state.assignedEngines.add(engine.id);
                 return order;
             }
         }
         return undefined;
     }
 
-    private place(engine: PlannedEngine, need: ItemNeed): PlannedOrder | undefined {
+    /** The order that loads an adapter on an engine or makes room for it; undefined if none of its adapters is idle. */
+    private placementOrder(engine: PlannedEngine, need: ItemNeed): PlannedOrder | undefined {
         const { model, adapter } = need.key;
         const { state } = this;
         if (
-            adapterCount(engine) < state.input.spec.adapterPlaces && state.fits(engine, state.adapterMb(model))
+            adapterCount(engine) < state.input.spec.adapterPlaces && state.fits(engine, state.adapterSizeMb(model))
         ) {
             return {
                 engine: engine.id,
                 order: { kind: "load", model, adapter },
                 fromStore: false,
-                reason: `asked for ${need.rate.toFixed(1)}/s, ${need.lacking} lacking`,
+                reason: `demand ${need.rate.toFixed(1)}/s, ${need.lacking} unserved`,
             };
         }
-        const victim = this.idleAdapter(engine);
+        const victim = this.longestIdleAdapter(engine);
         return victim === undefined ? undefined : {
             engine: engine.id,
             order: { kind: "unload", ...victim },
@@ -82,12 +86,12 @@
         };
     }
 
-    /** The adapter that was not asked for the longest; none while a place is being freed, however long that takes. */
-    private idleAdapter(engine: PlannedEngine): { model: string; adapter: string; } | undefined {
+    /** The adapter that has been idle for longest; undefined while another one is being unloaded. */
+    private longestIdleAdapter(engine: PlannedEngine): { model: string; adapter: string; } | undefined {
         if (hasLeavingAdapter(engine)) {
             return undefined;
         }
-        const idle = [...engine.models].flatMap(([model, held]) =>
+        const loaded = [...engine.models].flatMap(([model, held]) =>
             [...held.adapters].filter(([, stage]) => stage === "held").map(([adapter]) => {
                 const need = this.state.adapterNeed(model, adapter);
                 return {
@@ -98,21 +102,21 @@
                 };
             })
         );
-        const victim = idle.filter(({ idleMs, running }) => idleMs > adapterIdleMs && running === 0)
+        const victim = loaded.filter(({ idleMs, running }) => idleMs > adapterIdleThresholdMs && running === 0)
             .sort((a, b) => b.idleMs - a.idleMs)[0];
         return victim === undefined ? undefined : { model: victim.model, adapter: victim.adapter };
     }
 
-    private isAnywhere(model: string, adapter: string): boolean {
+    private isLoadedAnywhere(model: string, adapter: string): boolean {
         return this.state.holders(model).some(engine => engine.models.get(model)!.adapters.get(adapter) === "held");
     }
 
-    /** Demand for the adapters that an engine holds. */
-    private pressure(engine: PlannedEngine): number {
+    /** Requests a second for the adapters of an engine, with a base rate for each. */
+    private adapterDemand(engine: PlannedEngine): number {
         let rate = 0;
         for (const [model, held] of engine.models) {
             for (const adapter of held.adapters.keys()) {
-                rate += perHeldAdapter + (this.state.adapterNeed(model, adapter)?.rate ?? 0);
+                rate += baseRatePerAdapter + (this.state.adapterNeed(model, adapter)?.rate ?? 0);
             }
         }
         return rate;
--- a/packages/fleet/src/heldmodels.ts
+++ b/packages/fleet/src/heldmodels.ts
@@ -1,24 +1,24 @@
-/** What a list of held models becomes by orders, and what their adapters are called. */
+/** Helpers for lists of the models that an engine holds. */
 import { type HeldModel } from "./gen/winchpath/fleet/v1/fleet_pb.js";
 import { type EngineOrder } from "./orders.js";
 import { heldModel } from "./registries.js";
 
-/** Whether an order gives up an adapter, and not its model. */
+/** Whether an order unloads an adapter, and not a whole model. */
 export function isAdapterUnload({ kind, adapter }: EngineOrder): boolean {
     return kind === "unload" && adapter !== "";
 }
 
-/** "model/adapter". */
+/** Name of an order's adapter, as "model/adapter". */
 export function adapterName({ model, adapter }: EngineOrder): string {
     return `${model}/${adapter}`;
 }
 
-/** Adapters that are held, "model/adapter". */
+/** Names of all adapters that are held, as "model/adapter". */
 export function heldAdapters({ models }: { readonly models: readonly HeldModel[]; }): string[] {
     return models.flatMap(model => model.adapters.map(adapter => `${model.name}/${adapter}`));
 }
 
-/** Changes a list of models as an order does that has taken effect. */
+/** Updates a list of models with the effect of a completed order. */
 export function applyOrder(models: HeldModel[], order: EngineOrder): void {
     const held = models.find(model => model.name === order.model);
     if (order.adapter === "") {
@@ -41,7 +41,7 @@
     }
 }
 
-/** Takes the model of a name out of a list, where it meets a condition. */
+/** Removes the model with the given name from a list, if it meets a condition. */
 export function remove(models: HeldModel[], name: string, condition: (held: HeldModel) => boolean): void {
     const index = models.findIndex(model => model.name === name && condition(model));
     if (index !== -1) {
--- a/packages/fleet/src/items.ts
+++ b/packages/fleet/src/items.ts
@@ -1,18 +1,18 @@
-/** What requests ask of engines. */
+/** Keys of the items that requests ask for: models and adapters. */
 
-/** The adapter is empty where the model alone is asked for. */
+/** A model of a service, or one of its adapters where `adapter` is not empty. */
 export interface ItemKey {
     readonly service: string;
     readonly model: string;
     readonly adapter: string;
 }
 
-/** One string for a service's model, for maps. */
+/** Map key of a service's model. */
 export function modelName(service: string, model: string): string {
     return `${service}/${model}`;
 }
 
-/** One string for an item, for maps. */
+/** Map key of an item. */
 export function itemName(key: ItemKey): string {
     return `${key.service}/${key.model}/${key.adapter}`;
 }
--- a/packages/fleet/src/modelvalues.ts
+++ b/packages/fleet/src/modelvalues.ts
@@ -1,258 +1,255 @@
 /**
- * What a model on an engine is worth: requests that would be lost without it
- * over the next seconds. Loads and what they take the place of are compared
- * by it.
+ * Scores model loads by the requests that they save within a planning horizon, less the requests lost by
+ * what they evict and delay.
  */
 import { type EngineModel } from "@winchpath/declarations";
 import { type PlannedEngine } from "./plans.js";
 import { type ModelNeed, type PlanState } from "./planstates.js";
 
-/** Demand is taken to last this long, in milliseconds: on the users' fleets it moves on every 10 to 14 s. */
-const horizonMs = 15_000;
+/** Current demand is assumed to last this long, in milliseconds. */
+const planningHorizonMs = 15_000;
+/** Share of the total request rate that is spread over all models, for those without recent demand. */
+const baselineDemandShare = 0.1;
+/** Lower bound of the total request rate for each engine, which the baseline is derived from. */
+const minRatePerEngine = 1;
+/** Share of an engine's prompt throughput that a replica is planned for; above it, queueing dominates latency. */
+const targetUtilization = 0.7;
+/** Replicas of each model that idle models may not replace before any demand is known. */
+const protectedReplicasBeforeDemand = 2;
+/** Fixed cost of a load, in requests: use of the store, and the risk that demand changes. */
+const fixedLoadCost = 0.2;
 /**
- * Share of all requests that go to models which were not asked for lately,
- * spread over all models: rare ones, and those that are about to become busy.
- * A tenth went to 158 of 192 models in the log of a fleet of 82 engines; with three tenths, 0.920
- * were in time where models rise, and 0.939 with this (8 seeds).
+ * Cost of each second that a replacement keeps an engine busy, in requests: the engine is unavailable for
+ * later demand, and demand may have changed by the time that a slow load completes.
  */
-const quietShare = 0.1;
-/** Requests a second for each engine that are reckoned with before any were heard of. */
-const leastRatePerEngine = 1;
-/**
- * Work that one replica is planned for, as a share of what an engine can read:
- * above it, prompts queue for longer than they take to read.
- */
-const replicaShare = 0.7;
-/** Before any request was heard of, a model with so many replicas is taken to have them for a reason. */
-const replicasBeforeDemand = 2;
-/** What a load costs whatever it brings, in requests: wear of the store, and the risk of a wrong guess. */
-const loadCost = 0.2;
-/**
- * What a second of an engine's loading costs the fleet besides, in requests: the next need finds the
- * engine tied up, and demand has moved by the time that a slow load ends. Without it, 157 loads from the
- * store in 30 s were worth no more than none (0.920 and 0.912 in time, 82 engines, 213 models, 8 seeds);
- * with it, and the quiet share of a third, 77 loads and 0.950.
- */
-const tiedCostPerSecond = 1.2;
-/** The same for a model that is asked for and that nobody holds: it gets nothing otherwise. */
-const tiedCostPerSecondOfLacking = 0.3;
-/** What it costs besides to give a model up: orders, and what was kept of its prompts. */
-const unloadCost = 0.1;
-/** Share of an engine's requests that its load delays or turns away: it takes no orders for adapters meanwhile. */
-const blockedShare = 0.05;
-/** Adapters are asked for unevenly: so much less than their share of requests goes to those that are not loaded. */
-const unloadedAdapterShare = 0.5;
-/**
- * An unload waits for the requests that run on the engine, in milliseconds for
- * each: the longest of them counts, and the more there are, the longer that is.
- * An estimate: waits of some seconds stand in logs of full engines.
- */
-const unloadMsPerRunning = 400;
-/** Such a wait is not reckoned to last longer: about as long as the longest texts take. */
-const longestUnloadMs = 8000;
-/** Decides between engines that are alike: work is spread. */
-const evenness = 0.5;
+const replacementCostPerSecond = 1.2;
+/** The same for a model with unserved requests and no replica, so that slow loads stay possible for it. */
+const unservedReplacementCostPerSecond = 0.3;
+/** Fixed cost of an unload, in requests: the orders themselves, and the loss of cached prompts. */
+const fixedUnloadCost = 0.1;
+/** Share of an engine's requests that are delayed or refused while it loads a model and accepts no adapter orders. */
+const interferenceShare = 0.05;
+/** Demand for adapters that are not loaded, relative to an even distribution over all adapters. */
+const unloadedAdapterWeight = 0.5;
+/** Estimated time that an unload waits for each running request of the model, in milliseconds. */
+const drainMsPerRequest = 400;
+/** Upper bound of that estimate, in milliseconds. */
+const maxDrainMs = 8000;
+/** Penalty, in requests, for an engine whose other models are busy, to spread work over engines. */
+const spreadPenalty = 0.5;
 
-/** A load on an engine, with the model that it takes the place of. */
+/** A load on an engine, with the model that it replaces, if any. */
 export interface LoadOption {
     readonly engine: PlannedEngine;
     readonly victim: ModelNeed | undefined;
-    /** Requests that it saves, less those that it costs; it is worth it above 0. */
-    readonly net: number;
+    /** Requests saved less requests lost; the load is worthwhile if it is positive. */
+    readonly netBenefit: number;
 }
 
-export class ModelValues {
-    private readonly quietRate: number;
-    /** Replicas that a model keeps whatever comes that nobody asks for. */
-    private readonly keptForQuiet: number;
-    private readonly heardDemand: boolean;
-    private readonly reloads = new Map<string, ReloadTimes>();
+export class LoadScorer {
+    /** Requests a second that are assumed for each model in addition to observed demand. */
+    private readonly baselineRate: number;
+    /** Replicas of each model that idle models may not replace. */
+    private readonly protectedReplicas: number;
+    private readonly hasDemand: boolean;
+    private readonly reloadTimesByModel = new Map<string, ReloadTimes>();
 
     public constructor(private readonly state: PlanState) {
         const { engines, spec } = state.input;
         const rate = state.models.reduce((sum, need) => sum + need.rate, 0);
-        this.heardDemand = rate > 0;
-        this.keptForQuiet = this.heardDemand ? 1 : replicasBeforeDemand;
-        const total = Math.max(rate, engines.length * leastRatePerEngine);
-        this.quietRate = quietShare * total / Math.max(1, spec.models.length);
+        this.hasDemand = rate > 0;
+        this.protectedReplicas = this.hasDemand ? 1 : protectedReplicasBeforeDemand;
+        const assumedRate = Math.max(rate, engines.length * minRatePerEngine);
+        this.baselineRate = baselineDemandShare * assumedRate / Math.max(1, spec.models.length);
     }
 
     /**
-     * Whether one more replica could be worth it on some engine. Most models of a large
-     * fleet have enough, and looking at each engine for each of them would take the leader
-     * 10 ms a plan (82 engines, 213 models).
+     * Whether one more replica could be worthwhile on any engine. A cheap filter that avoids
+     * evaluating every engine for each model of a large fleet.
      */
-    public mayGain(need: ModelNeed): boolean {
-        return this.gain(need, 0) > loadCost;
+    public mayBenefit(need: ModelNeed): boolean {
+        return this.benefit(need, 0) > fixedLoadCost;
     }
 
-    /** The best way to one more replica of a model on one engine; undefined where nothing can be given up for it. */
+    /** The best way to add a replica of a model on one engine; undefined if no model can be evicted for it. */
     public bestOption(engine: PlannedEngine, need: ModelNeed): LoadOption | undefined {
-        const loadMs = loadTime(engine, need.model);
+        const loadMs = loadDurationMs(engine, need.model);
         if (this.state.fits(engine, need.model.sizeMb)) {
-            return { engine, victim: undefined, net: this.net(engine, need, undefined, loadMs) };
+            return { engine, victim: undefined, netBenefit: this.netLoadBenefit(engine, need, undefined, loadMs) };
         }
         let best: LoadOption | undefined;
-        for (const victim of this.victims(engine, need)) {
-            if (this.isQuiet(need) && this.state.readyReplicas(victim.model.name) <= this.keptForQuiet) {
+        for (const victim of this.evictionCandidates(engine, need)) {
+            if (this.isIdle(need) && this.state.readyReplicas(victim.model.name) <= this.protectedReplicas) {
                 continue;
             }
-            const busyMs = this.unloadMs(victim) + loadMs;
-            const net = this.net(engine, need, victim, busyMs) - this.loss(engine, victim, busyMs);
-            if (best === undefined || net > best.net) {
-                best = { engine, victim, net };
+            const busyMs = this.drainMs(victim) + loadMs;
+            const netBenefit = this.netLoadBenefit(engine, need, victim, busyMs)
+                - this.evictionCost(engine, victim, busyMs);
+            if (best === undefined || netBenefit > best.netBenefit) {
+                best = { engine, victim, netBenefit };
             }
         }
         return best;
     }
 
-    /** Requests that a load saves, less those that it delays on its engine, which is busy for `busyMs`. */
-    private net(engine: PlannedEngine, need: ModelNeed, victim: ModelNeed | undefined, busyMs: number): number {
-        const gain = this.gain(need, busyMs);
-        return this.servedGain(engine, need, victim, gain) - this.blockingCost(engine, busyMs)
-            - (victim === undefined ? 0 : this.tiedCost(need) * busyMs / 1000);
+    /** Requests that a load saves, less those lost while its engine is busy for `busyMs`. */
+    private netLoadBenefit(
+        engine: PlannedEngine,
+        need: ModelNeed,
+        victim: ModelNeed | undefined,
+        busyMs: number,
+    ): number {
+        const benefit = this.benefit(need, busyMs);
+        return this.attainableBenefit(engine, need, victim, benefit) - this.interferenceCost(engine, busyMs)
+            - (victim === undefined ? 0 : this.busyCostPerSecond(need) * busyMs / 1000);
     }
 
-    /** Of a load that takes the place of something; before any demand was heard nothing is known to be needed next. */
-    private tiedCost(need: ModelNeed): number {
-        if (!this.heardDemand) {
+    /** Cost of each second of a replacement; 0 while no demand is known. */
+    private busyCostPerSecond(need: ModelNeed): number {
+        if (!this.hasDemand) {
             return 0;
         }
-        const isLacking = need.lacking > 0 && this.state.replicas(need.model.name) === 0;
-        return isLacking ? tiedCostPerSecondOfLacking : tiedCostPerSecond;
+        const isUnserved = need.unserved > 0 && this.state.expectedReplicas(need.model.name) === 0;
+        return isUnserved ? unservedReplacementCostPerSecond : replacementCostPerSecond;
     }
 
-    /** How long it takes to give a model up. */
-    private unloadMs(victim: ModelNeed): number {
+    /** Estimated time until a model's running requests have completed. */
+    private drainMs(victim: ModelNeed): number {
         const running = victim.running / Math.max(1, this.state.readyReplicas(victim.model.name));
-        return Math.min(longestUnloadMs, running * unloadMsPerRunning);
+        return Math.min(maxDrainMs, running * drainMsPerRequest);
     }
 
-    private isQuiet(need: ModelNeed): boolean {
-        return need.rate < this.quietRate && need.lacking === 0;
+    /** Whether a model has less demand than the baseline. */
+    private isIdle(need: ModelNeed): boolean {
+        return need.rate < this.baselineRate && need.unserved === 0;
     }
 
-    /** Models of an engine that make enough room when one of them goes. */
-    private victims(engine: PlannedEngine, coming: ModelNeed): ModelNeed[] {
+    /** Models of an engine each of which frees enough memory when unloaded. */
+    private evictionCandidates(engine: PlannedEngine, replacement: ModelNeed): ModelNeed[] {
         return [...engine.models]
             .filter(([, held]) => held.ready && !held.leaving)
             .flatMap(([name]) => this.state.modelNeed(name) ?? [])
-            .filter(({ model }) => this.state.fits(engine, coming.model.sizeMb - model.sizeMb));
+            .filter(({ model }) => this.state.fits(engine, replacement.model.sizeMb - model.sizeMb));
     }
 
-    /** Requests that one more replica saves within the horizon, when it takes `loadMs` to be there. */
-    private gain(need: ModelNeed, loadMs: number): number {
-        const replicas = this.state.replicas(need.model.name);
-        const saved = this.shortShare(need, replicas) - this.shortShare(need, replicas + 1);
-        if (replicas === 0 && this.isQuiet(need)) {
-            // Nobody asks: what is saved is the time that the first ones would wait.
-            return this.quietRate * Math.min(horizonMs, this.reloadMs(need.model)) / 1000;
+    /** Requests that one more replica saves within the horizon if it is ready after `loadMs`. */
+    private benefit(need: ModelNeed, loadMs: number): number {
+        const replicas = this.state.expectedReplicas(need.model.name);
+        const savedShare = this.unservedShare(need, replicas) - this.unservedShare(need, replicas + 1);
+        if (replicas === 0 && this.isIdle(need)) {
+            // Without demand, the benefit is that the first requests need not wait for a load.
+            return this.baselineRate * Math.min(planningHorizonMs, this.reloadMs(need.model)) / 1000;
         }
-        const useful = Math.max(0, 1 - loadMs / horizonMs);
-        return (saved * this.expectedRate(need) * horizonMs / 1000 + (replicas === 0 ? need.lacking : 0)) * useful;
+        const usefulShare = Math.max(0, 1 - loadMs / planningHorizonMs);
+        return (savedShare * this.expectedRate(need) * planningHorizonMs / 1000 + (replicas === 0 ? need.unserved : 0))
+            * usefulShare;
     }
 
-    /** Requests that are lost when an engine gives up a model for a load of `loadMs`. */
-    private loss(engine: PlannedEngine, victim: ModelNeed, loadMs: number): number {
+    /** Requests that are lost when an engine evicts a model and is busy for `busyMs`. */
+    private evictionCost(engine: PlannedEngine, victim: ModelNeed, busyMs: number): number {
         const { name } = victim.model;
         const remaining = this.state.readyReplicas(name) - 1;
         if (remaining > 0) {
-            const lost = this.shortShare(victim, remaining) - this.shortShare(victim, remaining + 1);
-            return unloadCost + this.fullness(victim, 0) + lost * this.expectedRate(victim) * horizonMs / 1000;
+            const lostShare = this.unservedShare(victim, remaining) - this.unservedShare(victim, remaining + 1);
+            return fixedUnloadCost + this.utilization(victim, 0)
+                + lostShare * this.expectedRate(victim) * planningHorizonMs / 1000;
         }
-        // What is asked for now stays unserved, or moves another model out in its turn; the rest until it is back.
-        const here = loadMs + loadTime(engine, victim.model);
-        const awayMs = Math.min(horizonMs, here, this.reloadMs(victim.model, engine));
-        return unloadCost + (victim.rate * horizonMs + this.quietRate * awayMs) / 1000;
+        // Current demand is lost for the whole horizon, baseline demand until the model is loaded again.
+        const hereMs = busyMs + loadDurationMs(engine, victim.model);
+        const awayMs = Math.min(planningHorizonMs, hereMs, this.reloadMs(victim.model, engine));
+        return fixedUnloadCost + (victim.rate * planningHorizonMs + this.baselineRate * awayMs) / 1000;
     }
 
-    /** Time in which a model that nobody holds can be there, from the best copy; `except` is busy otherwise. */
+    /** Shortest time in which any engine but `except` can load a model. */
     private reloadMs(model: EngineModel, except?: PlannedEngine): number {
         const times = this.reloadTimes(model);
-        return except === undefined || times.bestEngine !== except ? times.bestMs : times.secondMs;
+        return except === undefined || times.fastestEngine !== except ? times.fastestMs : times.secondFastestMs;
     }
 
     private reloadTimes(model: EngineModel): ReloadTimes {
-        let times = this.reloads.get(model.name);
+        let times = this.reloadTimesByModel.get(model.name);
         if (times === undefined) {
-            times = reloadTimesOf(model, this.state.input.engines);
-            this.reloads.set(model.name, times);
+            times = computeReloadTimes(model, this.state.input.engines);
+            this.reloadTimesByModel.set(model.name, times);
         }
         return times;
     }
 
-    private blockingCost(engine: PlannedEngine, loadMs: number): number {
+    /** Requests that a load delays or causes to fail on its engine. */
+    private interferenceCost(engine: PlannedEngine, loadMs: number): number {
         let rate = 0;
         for (const name of engine.models.keys()) {
             const need = this.state.modelNeed(name);
-            rate += (need?.rate ?? 0) / Math.max(1, this.state.holders(name).length) * blockedShare;
+            rate += (need?.rate ?? 0) / Math.max(1, this.state.holders(name).length) * interferenceShare;
         }
-        return loadCost + (rate + this.adapterMisses(engine)) * loadMs / 1000;
+        return fixedLoadCost + (rate + this.adapterMissRate(engine)) * loadMs / 1000;
     }
 
-    /** Requests a second for adapters that are not loaded, of models that only this engine serves. */
-    private adapterMisses(engine: PlannedEngine): number {
-        let misses = 0;
+    /** Requests a second for adapters that are not loaded, of models with no other ready replica. */
+    private adapterMissRate(engine: PlannedEngine): number {
+        let rate = 0;
         for (const [name, held] of engine.models) {
             const need = this.state.modelNeed(name);
             if (need === undefined || need.model.adapters === 0 || this.state.readyReplicas(name) > 1) {
                 continue;
             }
-            const unloaded = Math.max(0, 1 - held.adapters.size / need.model.adapters);
-            misses += (need.adapterRate + this.quietRate) * unloaded * unloadedAdapterShare;
+            const unloadedShare = Math.max(0, 1 - held.adapters.size / need.model.adapters);
+            rate += (need.adapterRate + this.baselineRate) * unloadedShare * unloadedAdapterWeight;
         }
-        return misses;
+        return rate;
     }
 
-    /** What is left of a gain where the engine's other models have work, too: too much of it is shared out. */
-    private servedGain(
+    /** The part of a benefit that is left when the engine also serves its other models. */
+    private attainableBenefit(
         engine: PlannedEngine,
         need: ModelNeed,
         victim: ModelNeed | undefined,
-        gain: number,
+        benefit: number,
     ): number {
-        const others = [...engine.models.keys()].filter(name => name !== victim?.model.name)
-            .reduce((sum, name) => sum + this.fullness(this.state.modelNeed(name), 0), 0);
-        return gain / Math.max(1, others + Math.min(1, this.fullness(need, 1))) - Math.min(1, others) * evenness;
+        const otherUtilization = [...engine.models.keys()].filter(name => name !== victim?.model.name)
+            .reduce((sum, name) => sum + this.utilization(this.state.modelNeed(name), 0), 0);
+        return benefit / Math.max(1, otherUtilization + Math.min(1, this.utilization(need, 1)))
+            - Math.min(1, otherUtilization) * spreadPenalty;
     }
 
-    /** What each replica of a model asks of its engine, as a share of what that can do. */
-    private fullness(need: ModelNeed | undefined, extraReplicas: number): number {
+    /** Share of an engine's capacity that each replica of a model uses; 0 while the capacity is unknown. */
+    private utilization(need: ModelNeed | undefined, extraReplicas: number): number {
         const capacity = need === undefined ? undefined : this.state.input.capacityOf(need.model.name);
         return need === undefined || capacity === undefined
             ? 0
-            : need.work / Math.max(1, this.state.replicas(need.model.name) + extraReplicas) / capacity;
+            : need.work / Math.max(1, this.state.expectedReplicas(need.model.name) + extraReplicas) / capacity;
     }
 
-    /** Share of a model's requests that are not served in time by so many replicas. */
-    private shortShare(need: ModelNeed, replicas: number): number {
+    /** Share of a model's requests that exceed the capacity of the given number of replicas. */
+    private unservedShare(need: ModelNeed, replicas: number): number {
         if (replicas <= 0) {
             return 1;
         }
         const capacity = this.state.input.capacityOf(need.model.name);
         return capacity === undefined || need.work === 0
             ? 0
-            : Math.max(0, 1 - replicas * capacity * replicaShare / need.work);
+            : Math.max(0, 1 - replicas * capacity * targetUtilization / need.work);
     }
 
+    /** Requests a second, including the baseline. */
     private expectedRate(need: ModelNeed): number {
-        return need.rate + this.quietRate;
+        return need.rate + this.baselineRate;
     }
 }
 
-/** How soon a model can be there: on the engine that loads it quickest, and on any other one. */
+/** Time to load a model on the fastest engine, and on the fastest of all others. */
 interface ReloadTimes {
-    readonly bestEngine: PlannedEngine | undefined;
-    readonly bestMs: number;
-    readonly secondMs: number;
+    readonly fastestEngine: PlannedEngine | undefined;
+    readonly fastestMs: number;
+    readonly secondFastestMs: number;
 }
 
-function reloadTimesOf(model: EngineModel, engines: readonly PlannedEngine[]): ReloadTimes {
+function computeReloadTimes(model: EngineModel, engines: readonly PlannedEngine[]): ReloadTimes {
     let bestEngine: PlannedEngine | undefined;
     let bestMs = model.loadMs;
     let secondMs = model.loadMs;
     for (const engine of engines) {
-        const ms = loadTime(engine, model);
+        const ms = loadDurationMs(engine, model);
         if (ms < bestMs) {
             secondMs = bestMs;
             bestMs = ms;
@@ -262,11 +259,11 @@
             secondMs = Math.min(secondMs, ms);
         }
     }
-    return { bestEngine, bestMs, secondMs };
+    return { fastestEngine: bestEngine, fastestMs: bestMs, secondFastestMs: secondMs };
 }
 
-/** Time that an engine takes to load a model, from the best copy that its host has. */
-export function loadTime(engine: PlannedEngine, model: EngineModel): number {
+/** Time that an engine takes to load a model from the fastest available source: host memory, disk or store. */
+export function loadDurationMs(engine: PlannedEngine, model: EngineModel): number {
     if (engine.inMemory.has(model.name)) {
         return model.memoryLoadMs;
     }
--- a/packages/fleet/src/placements.ts
+++ b/packages/fleet/src/placements.ts
@@ -1,4 +1,4 @@
-/** The leader's task that sees to it that engines hold what callers ask for. */
+/** The leader's control loop that loads and unloads models on engines according to demand. */
 import { type EventLog, messageOf, Notifier, sleep, steadyNow } from "@winchpath/core";
 import { type Configuration, type EngineSpec } from "@winchpath/declarations";
 import { type DemandBook } from "./demands.js";
@@ -14,54 +14,56 @@
     type UnmetNeed,
 } from "./plans.js";
 import { type RegisteredUpstream, type Registry } from "./registries.js";
-import { StorePace } from "./storepaces.js";
+import { StoreLoadLimiter } from "./storepaces.js";
 
-/** How often is planned where nothing happens, in milliseconds. */
-const planMs = 500;
-/** What is asked for and not planned is told this often at most, in milliseconds. */
-const unmetLogMs = 500;
-/** Plans are at least this far apart, in milliseconds. */
-const planPauseMs = 10;
-/** Planning may take this share of the leader's time; the pause after a plan grows with what it took, up to a bound. */
-const planShare = 0.05;
-const longestPlanPauseMs = 100;
-/** An unload waits for what runs; without that it takes no time, and is looked after from then on. */
-const unloadMs = 5;
-/** An engine that could not be read is asked again after this long. */
-const rereadMs = 1000;
-/** How long an earlier leader's loads count against the store's pace: its window of five seconds. */
-const storeWindowMs = 5000;
-/** Room that was made for a model is kept for it this long; an unload waits for what runs. */
-const intentMs = 15_000;
+/** Interval of plans while nothing changes, in milliseconds. */
+const planIntervalMs = 500;
+/** Least interval between log lines about unmet demand, in milliseconds. */
+const unmetLogIntervalMs = 500;
+/** Least pause between two plans, in milliseconds. */
+const minPlanPauseMs = 10;
+/** Share of the leader's time that planning may take: the pause between plans grows with their duration. */
+const maxPlanTimeShare = 0.05;
+/** Upper bound of that pause, in milliseconds. */
+const maxPlanPauseMs = 100;
+/** Duration of an unload without running requests, in milliseconds, after which its completion is polled. */
+const expectedUnloadMs = 5;
+/** Least interval between two reads of an engine's state, in milliseconds. */
+const minSyncIntervalMs = 1000;
+/** How long an earlier leader's loads count against the store's rate limit, in milliseconds. */
+const storeTakeoverMs = 5000;
+/** How long an engine is reserved for the model that memory is being freed for, in milliseconds. */
+const reservationMs = 15_000;
 
-/** An engine that was silent for this many announcements is planned without. */
-const silentAnnouncements = 2.7;
-/** Processes that can't reach an engine before it is planned without: one alone may be cut off itself. */
-const unreachableReports = 2;
+/** An engine that has been silent for this many announcement intervals is excluded from plans. */
+const maxMissedAnnouncements = 2.7;
+/** Processes that must report an engine as unreachable before it is excluded: a single one may itself be cut off. */
+const minUnreachableReports = 2;
 
 export interface PlacementControl {
     /** How often upstreams announce themselves, in milliseconds. */
     readonly announceMs: number;
-    /** Who may give orders now; undefined where this host may not. */
+    /** Fencing token for orders; undefined while this host may not give any. */
     fence(): Fence | undefined;
-    /** An order is sent. */
+    /** Called when an order is sent. */
     gaveOrder(): void;
     readonly configuration: Configuration | undefined;
 }
 
-/** Gives orders for as long as one leadership lasts. */
+/** Plans and sends orders for the duration of one leadership. */
 export class EnginePlacement implements OrderLineOwner {
     private readonly lines = new Map<string, OrderLine>();
-    private readonly reads = new Map<string, number>();
-    /** Models that room is being made for, by engine. */
-    private readonly coming = new Map<string, { readonly model: string; readonly until: number; }>();
-    private readonly suspects = new Set<string>();
-    private readonly wake = new Notifier();
-    private readonly pace = new StorePace(storeWindowMs);
-    private fencedOff = false;
-    /** What the last plan took, without sending its orders. */
-    private plannedMs = 0;
-    private unmetToldAt = Number.NEGATIVE_INFINITY;
+    /** Steady time of the last attempt to read each engine's state. */
+    private readonly lastSyncTimes = new Map<string, number>();
+    /** Models that memory is being freed for, by engine. */
+    private readonly reservations = new Map<string, { readonly model: string; readonly until: number; }>();
+    private readonly suspectedEngines = new Set<string>();
+    private readonly planTrigger = new Notifier();
+    private readonly storeLimiter = new StoreLoadLimiter(storeTakeoverMs);
+    private isFenced = false;
+    /** Duration of the last plan, without sending its orders. */
+    private planDurationMs = 0;
+    private unmetLoggedAt = Number.NEGATIVE_INFINITY;
 
     public constructor(
         private readonly control: PlacementControl,
@@ -71,13 +73,13 @@
         private readonly log: EventLog,
     ) {}
 
-    /** Something changed that a plan depends on. */
+    /** Triggers a new plan after a change of its input. */
     public notify(): void {
-        this.wake.notify();
+        this.planTrigger.notify();
     }
 
     public fence(): Fence | undefined {
-        return this.fencedOff ? undefined : this.control.fence();
+        return this.isFenced ? undefined : this.control.fence();
     }
 
     public gave(): void {
@@ -89,36 +91,39 @@
     }
 
     public fenced(upstream: string): void {
-        if (!this.fencedOff) {
-            this.fencedOff = true;
+        if (!this.isFenced) {
+            this.isFenced = true;
             this.log.warn("orders.fenced", { upstream });
         }
     }
 
     public settled(): void {
-        this.wake.notify();
+        this.planTrigger.notify();
     }
 
-    /** An entry was told that an engine does not hold what it should: it is read anew. */
+    /** Rereads an engine's state after it told an entry that it does not hold an expected model or adapter. */
     public doubt(mismatch: Mismatch): void {
         const line = this.lines.get(mismatch.upstream);
         const name = mismatch.adapter === "" ? mismatch.model : `${mismatch.model}/${mismatch.adapter}`;
-        if (line !== undefined && this.mayRead(mismatch.upstream)) {
+        if (line !== undefined && this.claimSync(mismatch.upstream)) {
             this.log.warn("engine.mismatch", { upstream: mismatch.upstream, item: name });
             void line.sync();
         }
     }
 
-    /** Plans and gives orders until the signal is aborted. */
+    /** Plans and sends orders until the signal is aborted. */
     public async run(signal: AbortSignal): Promise<void> {
         while (!signal.aborted) {
-            await this.wake.wait(planMs);
-            await sleep(Math.min(longestPlanPauseMs, Math.max(planPauseMs, this.plannedMs / planShare)), signal);
+            await this.planTrigger.wait(planIntervalMs);
+            await sleep(
+                Math.min(maxPlanPauseMs, Math.max(minPlanPauseMs, this.planDurationMs / maxPlanTimeShare)),
+                signal,
+            );
             if (signal.aborted || this.fence() === undefined || !this.demand.isHeard) {
                 continue;
             }
             try {
-                this.plan();
+                this.planServices();
             }
             catch (err) {
                 this.log.warn("plan.failed", { error: messageOf(err) });
@@ -127,9 +132,9 @@
         this.lines.forEach(line => line.end());
     }
 
-    private plan(): void {
-        this.plannedMs = 0;
-        this.keepLines();
+    private planServices(): void {
+        this.planDurationMs = 0;
+        this.trackEngines();
         const { configuration } = this.control;
         for (const service of configuration?.services ?? []) {
             if (service.engine !== undefined) {
@@ -142,61 +147,72 @@
         const startedAt = steadyNow();
         const engines = this.registry.all()
             .filter(({ upstream }) => upstream.service === service && upstream.state === UpstreamState.READY)
-            .filter(({ upstream }) => !this.isSuspect(upstream.id))
-            .map(known => this.plannedEngine(known));
+            .filter(({ upstream }) => !this.checkSuspect(upstream.id))
+            .map(known => this.snapshotEngine(known));
         const plan = planOrders({
             service,
             spec,
             engines,
             needs: this.demand.needs().filter(need => need.key.service === service),
-            storeStarts: this.pace.free(spec.storeLoadsPerSecond, this.inheritedStarts(service, spec)),
+            storeLoadBudget: this.storeLimiter.availableStarts(
+                spec.storeLoadsPerSecond,
+                this.maxInheritedStarts(service, spec),
+            ),
             capacityOf: model => this.demand.paceOf(service, model),
         });
-        this.plannedMs += steadyNow() - startedAt;
-        this.tellUnmet(plan.unmet);
-        plan.orders.forEach(planned => this.give(service, planned, spec));
+        this.planDurationMs += steadyNow() - startedAt;
+        this.logUnmetNeeds(plan.unmet);
+        plan.orders.forEach(planned => this.sendOrder(service, planned, spec));
     }
 
-    private inheritedStarts(service: string, spec: EngineSpec): number {
-        const unseen = this.registry.all().filter(({ upstream }) =>
+    /** Upper bound of an earlier leader's recent loads from the store, by the engines not yet seen idle. */
+    private maxInheritedStarts(service: string, spec: EngineSpec): number {
+        const unverified = this.registry.all().filter(({ upstream }) =>
             upstream.service === service && this.lines.get(upstream.id)?.seenIdle !== true
         );
-        return StorePace.inherited(unseen.length, Math.min(...spec.models.map(({ loadMs }) => loadMs)));
+        return StoreLoadLimiter.maxInheritedStarts(
+            unverified.length,
+            Math.min(...spec.models.map(({ loadMs }) => loadMs)),
+        );
     }
 
-    private tellUnmet(unmet: readonly UnmetNeed[]): void {
+    private logUnmetNeeds(unmet: readonly UnmetNeed[]): void {
         const now = steadyNow();
-        if (unmet.length === 0 || now - this.unmetToldAt < unmetLogMs) {
+        if (unmet.length === 0 || now - this.unmetLoggedAt < unmetLogIntervalMs) {
             return;
         }
-        this.unmetToldAt = now;
+        this.unmetLoggedAt = now;
         this.log.info("plan.unmet", {
-            models: unmet.map(({ model, rate, lacking, freeEngines, bestNet }) => ({
+            models: unmet.map(({ model, rate, unserved, availableEngines, bestNetBenefit }) => ({
                 model,
                 rate: Number(rate.toFixed(1)),
-                lacking,
-                freeEngines,
-                bestNet: bestNet === undefined ? undefined : Number(bestNet.toFixed(1)),
+                lacking: unserved,
+                freeEngines: availableEngines,
+                bestNet: bestNetBenefit === undefined ? undefined : Number(bestNetBenefit.toFixed(1)),
             })),
         });
     }
 
-    /** Whether an engine seems to be down; what it holds is loaded elsewhere where it is asked for. */
-    private isSuspect(id: string): boolean {
-        const suspect = this.registry.isSuspect(id, this.control.announceMs * silentAnnouncements, unreachableReports);
-        if (suspect !== this.suspects.has(id)) {
-            this.log.warn(suspect ? "engine.suspected" : "engine.trusted", { upstream: id });
-            if (suspect) {
-                this.suspects.add(id);
+    /** Whether an engine seems to be down and is excluded from plans; logs changes. */
+    private checkSuspect(id: string): boolean {
+        const isSuspect = this.registry.isSuspect(
+            id,
+            this.control.announceMs * maxMissedAnnouncements,
+            minUnreachableReports,
+        );
+        if (isSuspect !== this.suspectedEngines.has(id)) {
+            this.log.warn(isSuspect ? "engine.suspected" : "engine.trusted", { upstream: id });
+            if (isSuspect) {
+                this.suspectedEngines.add(id);
             }
             else {
-                this.suspects.delete(id);
+                this.suspectedEngines.delete(id);
             }
         }
-        return suspect;
+        return isSuspect;
     }
 
-    private give(service: string, planned: PlannedOrder, spec: EngineSpec): void {
+    private sendOrder(service: string, planned: PlannedOrder, spec: EngineSpec): void {
         const line = this.lines.get(planned.engine);
         if (line === undefined || !line.free) {
             return;
@@ -206,25 +222,25 @@
             order: describeOrder(planned.order),
             fromStore: planned.fromStore,
             reason: planned.reason,
-            capacity: Math.round(this.demand.paceOf(service, planned.coming ?? planned.order.model) ?? 0),
+            capacity: Math.round(this.demand.paceOf(service, planned.makesRoomFor ?? planned.order.model) ?? 0),
         });
         if (planned.fromStore) {
-            this.pace.started();
+            this.storeLimiter.recordStart();
         }
-        if (planned.coming !== undefined) {
-            this.coming.set(planned.engine, { model: planned.coming, until: steadyNow() + intentMs });
+        if (planned.makesRoomFor !== undefined) {
+            this.reservations.set(planned.engine, { model: planned.makesRoomFor, until: steadyNow() + reservationMs });
         }
         else if (planned.order.kind === "load" && planned.order.adapter === "") {
-            this.coming.delete(planned.engine);
+            this.reservations.delete(planned.engine);
         }
-        void line.give(planned.order, this.expectedMs(planned, spec));
+        void line.give(planned.order, this.expectedOrderMs(planned, spec));
     }
 
-    private expectedMs(planned: PlannedOrder, spec: EngineSpec): number {
+    private expectedOrderMs(planned: PlannedOrder, spec: EngineSpec): number {
         const { order, engine } = planned;
         const model = spec.models.find(({ name }) => name === order.model);
         if (order.kind === "unload" || model === undefined) {
-            return unloadMs;
+            return expectedUnloadMs;
         }
         if (planned.fromStore) {
             return model.loadMs;
@@ -232,8 +248,8 @@
         return this.registry.get(engine)?.inMemory.has(model.name) ? model.memoryLoadMs : model.diskLoadMs;
     }
 
-    /** A line for every engine that is there, and none for those that are gone. */
-    private keepLines(): void {
+    /** Starts handling orders of new engines, ends it for removed ones, and rereads engines whose state is unknown. */
+    private trackEngines(): void {
         const engineServices = new Set(
             this.control.configuration?.services.filter(service => service.engine !== undefined).map(({ name }) =>
                 name
@@ -248,7 +264,7 @@
                 line = new OrderLine(upstream.id, this.registry, this.calls, this, this.log);
                 this.lines.set(upstream.id, line);
             }
-            if (!line.free && upstream.state === UpstreamState.READY && this.mayRead(upstream.id)) {
+            if (!line.free && upstream.state === UpstreamState.READY && this.claimSync(upstream.id)) {
                 void line.sync();
             }
         }
@@ -256,23 +272,24 @@
             if (this.registry.get(id) === undefined) {
                 line.end();
                 this.lines.delete(id);
-                this.reads.delete(id);
-                this.coming.delete(id);
-                this.suspects.delete(id);
+                this.lastSyncTimes.delete(id);
+                this.reservations.delete(id);
+                this.suspectedEngines.delete(id);
             }
         }
     }
 
-    private mayRead(id: string): boolean {
+    /** Whether an engine's state may be read now; if so, the read is counted as started. */
+    private claimSync(id: string): boolean {
         const now = steadyNow();
-        if (now - (this.reads.get(id) ?? Number.NEGATIVE_INFINITY) < rereadMs) {
+        if (now - (this.lastSyncTimes.get(id) ?? Number.NEGATIVE_INFINITY) < minSyncIntervalMs) {
             return false;
         }
-        this.reads.set(id, now);
+        this.lastSyncTimes.set(id, now);
         return true;
     }
 
-    private plannedEngine(known: RegisteredUpstream): PlannedEngine {
+    private snapshotEngine(known: RegisteredUpstream): PlannedEngine {
         const { upstream, inMemory, onDisk } = known;
         const line = this.lines.get(upstream.id);
         const models = new Map<string, PlannedModel>();
@@ -288,14 +305,14 @@
                 models.set(name, { ready: false, leaving: false, adapters: new Map() });
             }
         }
-        const coming = this.coming.get(upstream.id);
+        const reservation = this.reservations.get(upstream.id);
         return {
-            coming: coming !== undefined && steadyNow() < coming.until ? coming.model : undefined,
+            coming: reservation !== undefined && steadyNow() < reservation.until ? reservation.model : undefined,
             id: upstream.id,
             service: upstream.service,
             dataCentre: upstream.dataCentre,
             models,
-            // An adapter on its way shows only to orders, which the engine takes none of while it loads a model.
+            // Adapter loads are polled by orders, which an engine rejects while it loads a model.
             takesModels: line?.free === true && line.adaptersUnderWay.size === 0,
             freeTransits: line?.freeTransits ?? 0,
             inMemory,
@@ -304,7 +321,7 @@
     }
 }
 
-/** All adapters of a model that take places at an engine: those that are held, and those that come or go. */
+/** All adapters of a model that occupy slots on an engine: those that are held, and those being loaded or unloaded. */
 function adapterStages(model: HeldModel, line: OrderLine | undefined): Map<string, AdapterStage> {
     const stages = new Map(model.adapters.map((adapter): [string, AdapterStage] => [adapter, "held"]));
     const add = (names: Iterable<string>, stage: AdapterStage) => {
--- a/packages/fleet/src/plans.ts
+++ b/packages/fleet/src/plans.ts
@@ -1,194 +1,203 @@
-/**
- * Which orders are worth giving now. A pure function of what is known: the
- * engines, what they hold, and what callers ask for.
- */
+/** Plans load and unload orders for the engines of a service, as a pure function of their state and of demand. */
 import { type EngineSpec } from "@winchpath/declarations";
 import { AdapterPlanner } from "./adapterplans.js";
 import { type ItemNeed } from "./demands.js";
-import { type LoadOption, ModelValues } from "./modelvalues.js";
+import { type LoadOption, LoadScorer } from "./modelvalues.js";
 import { type EngineOrder } from "./orders.js";
 import { type ModelNeed, PlanState } from "./planstates.js";
 
-/** An engine that takes orders, as the plan sees it. */
+/** State of an engine at the time of planning. */
 export interface PlannedEngine {
     readonly id: string;
     readonly service: string;
     readonly dataCentre: string;
-    /** What it holds and what is under way to it, by model. */
+    /** Models that are loaded, loading or unloading, by name. */
     readonly models: ReadonlyMap<string, PlannedModel>;
-    /** The model that room is being made for; it counts as under way. */
+    /** The model that memory is being freed for; it counts as a replica that is loading. */
     readonly coming: string | undefined;
-    /** Whether it can be given an order that loads or unloads a model. */
+    /** Whether it accepts an order that loads or unloads a model. */
     readonly takesModels: boolean;
-    /** Adapters that may be ordered before one of those under way has arrived. */
+    /** Further adapter loads that may run at the same time. */
     readonly freeTransits: number;
-    /** Models of which its host keeps a copy. */
+    /** Models of which its host keeps a copy in memory. */
     readonly inMemory: ReadonlySet<string>;
+    /** Models of which its host keeps a copy on disk. */
     readonly onDisk: ReadonlySet<string>;
 }
 
+/** State of a model on one engine. */
 export interface PlannedModel {
     readonly ready: boolean;
+    /** Whether it is being unloaded. */
     readonly leaving: boolean;
-    /** Adapters by name; each takes a place, whatever its stage. */
+    /** Adapters by name; each occupies an adapter slot, whatever its stage. */
     readonly adapters: ReadonlyMap<string, AdapterStage>;
 }
 
-/** An adapter on its way out waits for the requests that run on it, and takes no others. */
+/** An adapter that is leaving finishes its running requests and accepts no new ones. */
 export type AdapterStage = "coming" | "held" | "leaving";
 
-/** What a plan is made for: one service with its engines and its demand. */
+/** One service with its engines and its demand. */
 export interface PlanInput {
     readonly service: string;
     readonly spec: EngineSpec;
     readonly engines: readonly PlannedEngine[];
     readonly needs: readonly ItemNeed[];
-    /** Loads from the weight store that may start now. */
-    readonly storeStarts: number;
-    /** Work for a model that one engine can do in a second, in tokens of a prompt; undefined where it is not known yet. */
+    /** Number of loads from the weight store that may start now. */
+    readonly storeLoadBudget: number;
+    /** Prompt tokens a second that one engine can process for a model; undefined while unknown. */
     readonly capacityOf: (model: string) => number | undefined;
 }
 
-/** An order with the engine that is to get it, and why. */
+/** An order, the engine that it is for, and the reason that is logged. */
 export interface PlannedOrder {
     readonly engine: string;
     readonly order: EngineOrder;
+    /** Whether a load reads the weights from the weight store. */
     readonly fromStore: boolean;
     readonly reason: string;
-    /** The model that an unload makes room for. */
-    readonly coming?: string;
+    /** The model that an unload frees memory for. */
+    readonly makesRoomFor?: string;
 }
 
-/** A model that requests wait for and that nothing is done for now, and why. */
+/** A model with unserved requests that has no replica and that the plan loads nowhere, with details for the log. */
 export interface UnmetNeed {
     readonly model: string;
+    /** Requests a second. */
     readonly rate: number;
-    readonly lacking: number;
-    /** Engines that could take an order now. */
-    readonly freeEngines: number;
-    /** Requests that the best load would save, less those that it would cost; undefined where none is possible. */
-    readonly bestNet: number | undefined;
+    /** Requests that wait for a replica, or were refused lately for lack of one. */
+    readonly unserved: number;
+    /** Number of engines that accept an order now. */
+    readonly availableEngines: number;
+    /** Net benefit of the best possible load, in requests; undefined if no load is possible. */
+    readonly bestNetBenefit: number | undefined;
 }
 
-export interface Plan {
-    /** The next orders, at most one for each engine, the most useful first. */
+export interface PlacementPlan {
+    /** At most one order for each engine, in order of priority. */
     readonly orders: readonly PlannedOrder[];
     readonly unmet: readonly UnmetNeed[];
 }
 
-export function planOrders(input: PlanInput): Plan {
+/** Plans the next orders; adapters are planned first. */
+export function planOrders(input: PlanInput): PlacementPlan {
     const state = new PlanState(input);
-    const adapters = new AdapterPlanner(state);
-    const adapterOrders = adapters.orders();
-    const models = new ModelPlanner(state, adapters);
-    return { orders: [...adapterOrders, ...models.orders()], unmet: models.unmet() };
+    const adapterPlanner = new AdapterPlanner(state);
+    const adapterOrders = adapterPlanner.orders();
+    const modelPlanner = new ModelPlanner(state, adapterPlanner);
+    return { orders: [...adapterOrders, ...modelPlanner.orders()], unmet: modelPlanner.unmet() };
 }
 
-/** Loads of models that are lacking or overloaded, and the unloads that make room for them. */
+/** Plans loads of models that have too few replicas, and the unloads that free memory for them. */
 class ModelPlanner {
-    private readonly values: ModelValues;
-    private storeStarts: number;
+    private readonly loadScorer: LoadScorer;
+    private storeLoadBudget: number;
 
-    public constructor(private readonly state: PlanState, private readonly adapters: AdapterPlanner) {
-        this.values = new ModelValues(state);
-        this.storeStarts = state.input.storeStarts;
+    public constructor(private readonly state: PlanState, private readonly adapterPlanner: AdapterPlanner) {
+        this.loadScorer = new LoadScorer(state);
+        this.storeLoadBudget = state.input.storeLoadBudget;
     }
 
     public orders(): PlannedOrder[] {
-        const wanted = this.state.models
-            .filter(need => this.values.mayGain(need))
-            .flatMap(need => this.bestFor(need) ?? [])
-            .sort((a, b) => b.option.net - a.option.net);
-        return [...this.pendingOrders(), ...wanted.flatMap(({ need }) => this.orderFor(need) ?? [])];
+        const candidates = this.state.models
+            .filter(need => this.loadScorer.mayBenefit(need))
+            .flatMap(need => this.bestLoad(need) ?? [])
+            .sort((a, b) => b.option.netBenefit - a.option.netBenefit);
+        return [...this.pendingOrders(), ...candidates.flatMap(({ need }) => this.orderFor(need) ?? [])];
     }
 
     public unmet(): UnmetNeed[] {
         return this.state.models
-            .filter(({ model, lacking }) => lacking > 0 && this.state.replicas(model.name) === 0)
+            .filter(({ model, unserved }) => unserved > 0 && this.state.expectedReplicas(model.name) === 0)
             .map(need => {
-                const free = this.state.input.engines.filter(engine => this.isFree(engine));
-                const nets = free.flatMap(engine => this.values.bestOption(engine, need)?.net ?? []);
+                const available = this.state.input.engines.filter(engine => this.isAvailable(engine));
+                const netBenefits = available.flatMap(engine =>
+                    this.loadScorer.bestOption(engine, need)?.netBenefit ?? []
+                );
                 return {
                     model: need.model.name,
                     rate: need.rate,
-                    lacking: need.lacking,
-                    freeEngines: free.length,
-                    bestNet: nets.length === 0 ? undefined : Math.max(...nets),
+                    unserved: need.unserved,
+                    availableEngines: available.length,
+                    bestNetBenefit: netBenefits.length === 0 ? undefined : Math.max(...netBenefits),
                 };
             });
     }
 
-    /** Loads that room was made for, those first that are asked for most. */
+    /** Continues replacements whose unload was ordered by an earlier plan, by descending demand. */
     private pendingOrders(): PlannedOrder[] {
         const pending = this.state.input.engines.flatMap(engine => {
             const need = engine.coming === undefined ? undefined : this.state.modelNeed(engine.coming);
-            const waits = need !== undefined && this.isFree(engine) && !engine.models.has(need.model.name);
-            return waits ? [{ engine, need }] : [];
+            const isPending = need !== undefined && this.isAvailable(engine) && !engine.models.has(need.model.name);
+            return isPending ? [{ engine, need }] : [];
         });
-        pending.sort((a, b) => b.need.lacking - a.need.lacking || b.need.rate - a.need.rate);
+        pending.sort((a, b) => b.need.unserved - a.need.unserved || b.need.rate - a.need.rate);
         return pending.flatMap(({ engine, need }) => {
-            this.state.taken.add(engine.id);
+            this.state.assignedEngines.add(engine.id);
             if (this.state.fits(engine, need.model.sizeMb)) {
                 return this.load(engine, need) ?? [];
             }
-            const victim = this.values.bestOption(engine, need)?.victim;
-            return victim === undefined ? [] : this.makeRoom(engine, need, victim);
+            const victim = this.loadScorer.bestOption(engine, need)?.victim;
+            return victim === undefined ? [] : this.evict(engine, need, victim);
         });
     }
 
-    /** What is best may have changed by what was planned before. */
     private orderFor(need: ModelNeed): PlannedOrder | undefined {
-        const option = this.bestFor(need)?.option;
-        // What is given up for something better is not brought back at the cost of a third one.
-        if (option === undefined || this.state.isDropped(need.model.name)) {
+        // Evaluated again, since orders that were planned meanwhile may have changed the best option.
+        const option = this.bestLoad(need)?.option;
+        // A model that this plan evicts is not reloaded elsewhere: that could evict a third model.
+        if (option === undefined || this.state.hasPlannedUnload(need.model.name)) {
             return undefined;
         }
         const { engine, victim } = option;
-        const order = victim === undefined ? this.load(engine, need) : this.makeRoom(engine, need, victim);
+        const order = victim === undefined ? this.load(engine, need) : this.evict(engine, need, victim);
         if (order !== undefined) {
-            this.state.taken.add(engine.id);
-            this.state.plansReplica(need.model.name);
+            this.state.assignedEngines.add(engine.id);
+            this.state.addPlannedLoad(need.model.name);
         }
         return order;
     }
 
-    private bestFor(need: ModelNeed): { readonly need: ModelNeed; readonly option: LoadOption; } | undefined {
+    private bestLoad(need: ModelNeed): { readonly need: ModelNeed; readonly option: LoadOption; } | undefined {
         let best: LoadOption | undefined;
         for (const engine of this.state.input.engines) {
-            if (!this.isFree(engine) || engine.coming !== undefined || engine.models.has(need.model.name)) {
+            if (!this.isAvailable(engine) || engine.coming !== undefined || engine.models.has(need.model.name)) {
                 continue;
             }
-            if (this.storeStarts <= 0 && isFromStore(engine, need)) {
+            if (this.storeLoadBudget <= 0 && needsStore(engine, need)) {
                 continue;
             }
-            const option = this.values.bestOption(engine, need);
-            if (option !== undefined && option.net > (best?.net ?? 0) && !this.adapters.lacksAdapters(engine)) {
+            const option = this.loadScorer.bestOption(engine, need);
+            if (
+                option !== undefined && option.netBenefit > (best?.netBenefit ?? 0)
+                && !this.adapterPlanner.hasUnservedAdapters(engine)
+            ) {
                 best = option;
             }
         }
         return best === undefined ? undefined : { need, option: best };
     }
 
-    private isFree(engine: PlannedEngine): boolean {
-        return engine.takesModels && !this.state.taken.has(engine.id);
+    private isAvailable(engine: PlannedEngine): boolean {
+        return engine.takesModels && !this.state.assignedEngines.has(engine.id);
     }
 
     private load(engine: PlannedEngine, need: ModelNeed): PlannedOrder | undefined {
         const { name } = need.model;
-        const fromStore = isFromStore(engine, need);
-        if (fromStore && this.storeStarts <= 0) {
+        const fromStore = needsStore(engine, need);
+        if (fromStore && this.storeLoadBudget <= 0) {
             return undefined;
         }
-        this.storeStarts -= fromStore ? 1 : 0;
-        const reason = `asked for ${need.rate.toFixed(1)}/s, work ${Math.round(need.work)}, ${need.lacking} lacking`;
+        this.storeLoadBudget -= fromStore ? 1 : 0;
+        const reason = `demand ${need.rate.toFixed(1)}/s, ${Math.round(need.work)} tokens/s, ${need.unserved} unserved`;
         return { engine: engine.id, order: { kind: "load", model: name, adapter: "" }, fromStore, reason };
     }
 
-    private makeRoom(engine: PlannedEngine, need: ModelNeed, victim: ModelNeed): PlannedOrder {
-        this.state.plansDrop(victim.model.name);
+    private evict(engine: PlannedEngine, need: ModelNeed, victim: ModelNeed): PlannedOrder {
+        this.state.addPlannedUnload(victim.model.name);
         return {
             engine: engine.id,
-            coming: need.model.name,
+            makesRoomFor: need.model.name,
             order: { kind: "unload", model: victim.model.name, adapter: "" },
             fromStore: false,
             reason: `makes room for ${need.model.name}`,
@@ -196,7 +205,7 @@
     }
 }
 
-/** Whether the engine's host has no copy of the model's weights. */
-function isFromStore(engine: PlannedEngine, need: ModelNeed): boolean {
+/** Whether a load reads the weights from the store, since the engine's host has no copy of them. */
+function needsStore(engine: PlannedEngine, need: ModelNeed): boolean {
     return !engine.inMemory.has(need.model.name) && !engine.onDisk.has(need.model.name);
 }
--- a/packages/fleet/src/storepaces.ts
+++ b/packages/fleet/src/storepaces.ts
@@ -1,39 +1,42 @@
-/** Bounds how many loads from the weight store start within a span of time. */
+/** Limits the rate at which loads from the weight store start. */
 import { steadyNow } from "@winchpath/core";
 
-/** The span over which starts are counted, in milliseconds; the store's bound is given for five seconds. */
-const windowMs = 5000;
-/** Starts beyond the store's pace that it bears in a window; a new leader may use them beside an earlier one's. */
-const spareStarts = 3;
+/** Window over which the store's rate limit applies, in milliseconds. */
+const rateWindowMs = 5000;
+/** Starts that a new leader may add to unknown ones of its predecessor: the store tolerates this excess in a window. */
+const takeoverStarts = 3;
 
-export class StorePace {
-    private starts: number[] = [];
-    private readonly ownFrom: number;
+export class StoreLoadLimiter {
+    private startTimes: number[] = [];
+    private readonly takeoverEndsAt: number;
 
-    /** `sharedMs`: how long starts of an earlier leader, which are not known here, may still count. */
-    public constructor(sharedMs: number) {
-        this.ownFrom = steadyNow() + sharedMs;
+    /** @param takeoverMs How long starts of an earlier leader, which are unknown here, may still count */
+    public constructor(takeoverMs: number) {
+        this.takeoverEndsAt = steadyNow() + takeoverMs;
     }
 
-    /** Loads that may start now; `inherited`: those that an earlier leader may have started within the window. */
-    public free(perSecond: number, inherited = Number.POSITIVE_INFINITY): number {
+    /**
+     * Number of loads that may start now.
+     * @param inheritedStarts Upper bound of the loads that an earlier leader started within the window
+     */
+    public availableStarts(loadsPerSecond: number, inheritedStarts = Number.POSITIVE_INFINITY): number {
         const now = steadyNow();
-        this.starts = this.starts.filter(start => now - start < windowMs);
-        const bound = Math.max(1, Math.floor(perSecond * windowMs / 1000));
-        const isOwn = now >= this.ownFrom;
-        const left = isOwn ? bound : Math.max(bound - inherited, Math.min(spareStarts, bound));
-        return Math.max(0, left - this.starts.length);
+        this.startTimes = this.startTimes.filter(start => now - start < rateWindowMs);
+        const limit = Math.max(1, Math.floor(loadsPerSecond * rateWindowMs / 1000));
+        const isTakeoverOver = now >= this.takeoverEndsAt;
+        const allowed = isTakeoverOver ? limit : Math.max(limit - inheritedStarts, Math.min(takeoverStarts, limit));
+        return Math.max(0, allowed - this.startTimes.length);
     }
 
     /**
-     * Loads that an earlier leader may have started within the window, by the engines that were not seen idle since:
-     * a load lasts longer than the window, so the engine of each is still busy with it.
+     * Upper bound of the loads that an earlier leader started within the window. Where loads last longer than the
+     * window, it is the number of engines that have not been seen idle since; otherwise loads may have ended unnoticed.
      */
-    public static inherited(unseenEngines: number, shortestLoadMs: number): number {
-        return shortestLoadMs >= windowMs ? unseenEngines : Number.POSITIVE_INFINITY;
+    public static maxInheritedStarts(unverifiedEngines: number, shortestLoadMs: number): number {
+        return shortestLoadMs >= rateWindowMs ? unverifiedEngines : Number.POSITIVE_INFINITY;
     }
 
-    public started(): void {
-        this.starts.push(steadyNow());
+    public recordStart(): void {
+        this.startTimes.push(steadyNow());
     }
 }
--- a/packages/fleet/src/tests/largefleets.test.ts
+++ b/packages/fleet/src/tests/largefleets.test.ts
@@ -1,6 +1,6 @@
 /**
- * What the leader does at the size of a large fleet: 82 engines, 213 models and 68
- * entries. Bounds are numbers of answers and of looks at engines, never times.
+ * Guards the leader's cost in a large fleet: 82 engines, 213 models and 68 entries.
+ * Limits are numbers of answers and evaluations rather than times, to be independent of the machine.
  */
 import { create } from "@bufbuild/protobuf";
 import { silentLog } from "@winchpath/core";
@@ -24,8 +24,8 @@
 const entryCount = 68;
 const engineCount = 82;
 const modelCount = 213;
-/** Models that fit into one engine. */
-const placesPerEngine = 3;
+/** Models that fit into one engine's memory. */
+const modelsPerEngine = 3;
 
 class LargeControl implements FeedControl {
     public readonly epoch = "1/a";
@@ -44,9 +44,10 @@
     public async barrier(): Promise<void> {}
 }
 
-/** Entries that poll one after the other answer, and how many answers each got. */
+/** Entries that poll the feed continuously, with the number of answers that each received. */
 class PollingEntries {
     public readonly answers = new Map<string, number>();
+    /** When each entry learnt that an upstream is draining. */
     public readonly drained = new Map<string, number>();
 
     public constructor(private readonly feed: Feed) {}
@@ -92,8 +93,8 @@
     return { control, registry, feed, entries };
 }
 
-/** Lets `ms` pass, a millisecond at a time, with all that follows. */
-async function pass(t: TestContext, ms: number, each: (ms: number) => void = () => undefined): Promise<void> {
+/** Advances mocked time by `ms` in steps of a millisecond, and runs pending tasks after each step. */
+async function advanceTime(t: TestContext, ms: number, each: (ms: number) => void = () => undefined): Promise<void> {
     for (let at = 0; at < ms; at++) {
         each(at);
         t.mock.timers.tick(1);
@@ -106,11 +107,11 @@
 }
 
 describe("the feed of a large fleet", () => {
-    /** One change in 14 ms: adapters and models that come and go on 82 engines. */
+    /** Interval of changes to the models of some engine. */
     const changeEveryMs = 14;
     const seconds = 2;
 
-    function changing(registry: Registry, feed: Feed) {
+    function modelChanges(registry: Registry, feed: Feed) {
         return (at: number) => {
             if (at % changeEveryMs === 0) {
                 registry.setModels(`u${at / changeEveryMs % engineCount}`, holding(`m${at}`));
@@ -119,37 +120,37 @@
         };
     }
 
-    it("takes a share of the leader's core, however often something changes", async t => {
+    it("limits its answers a second, however often something changes", async t => {
         const { registry, feed, entries } = setUpFeed(t);
-        await pass(t, 50);
+        await advanceTime(t, 50);
         const before = entries.total;
-        await pass(t, seconds * 1000, changing(registry, feed));
+        await advanceTime(t, seconds * 1000, modelChanges(registry, feed));
         const perSecond = (entries.total - before) / seconds;
-        // 0.15 of a core at 0.4 ms an answer are 375 a second; each change told to each entry would be 4,900.
+        // The limit is near 375 answers a second; sending each change to each entry would take 4,900.
         expect(perSecond).toBeLessThan(400);
         expect(perSecond).toBeGreaterThan(300);
     });
 
-    it("tells at once that an upstream takes no more requests", async t => {
+    it("announces a draining upstream immediately", async t => {
         const { registry, feed, entries } = setUpFeed(t);
-        await pass(t, 500, changing(registry, feed));
+        await advanceTime(t, 500, modelChanges(registry, feed));
         const drainedAt = Date.now();
         registry.announce(announcement("u1", 2, { address: "10.0.0.1:80", state: UpstreamState.DRAINING }));
         feed.wake();
-        await pass(t, 20);
+        await advanceTime(t, 20);
         expect(entries.drained.size).toEqual(entryCount);
         expect(Math.max(...entries.drained.values()) - drainedAt).toBeLessThan(10);
     });
 
-    it("tells an entry at once what its requests wait for", async t => {
+    it("sends an entry immediately what its requests wait for", async t => {
         const { control, registry, feed, entries } = setUpFeed(t);
-        await pass(t, 500, changing(registry, feed));
+        await advanceTime(t, 500, modelChanges(registry, feed));
         control.awaited.set("entry-7", new Set(["s/wanted"]));
-        await pass(t, 300, changing(registry, feed));
+        await advanceTime(t, 300, modelChanges(registry, feed));
         const before = entries.answers.get("entry-7")!;
         registry.setModels("u3", holding("wanted"));
         feed.wake();
-        await pass(t, 10);
+        await advanceTime(t, 10);
         expect(entries.answers.get("entry-7")! - before).toEqual(1);
     });
 });
@@ -164,61 +165,60 @@
         engine(
             `e${index}`,
             Array.from(
-                { length: placesPerEngine },
-                (__, place) => `m${(index * placesPerEngine + place) % modelCount}`,
+                { length: modelsPerEngine },
+                (__, place) => `m${(index * modelsPerEngine + place) % modelCount}`,
             ),
         ));
 
-    function planFor(needs: readonly ItemNeed[], storeStarts = 1, fleet = engines) {
-        let looks = 0;
+    function planFor(needs: readonly ItemNeed[], storeLoadBudget = 1, fleet = engines) {
+        let evaluations = 0;
         const plan = planOrders({
             service: "s",
             spec: largeSpec,
             engines: fleet,
             needs,
-            storeStarts,
+            storeLoadBudget,
             capacityOf: () => {
-                looks += 1;
+                evaluations += 1;
                 return 10_000;
             },
         });
-        return { plan, looks };
+        return { plan, evaluations };
     }
 
-    it("looks at engines only for models that could do with a replica", () => {
-        // Each model is asked for, and has a replica that can do it.
+    it("evaluates engines only for models that could benefit from another replica", () => {
+        // Each model is in demand, and its replicas have enough capacity.
         const needs = largeSpec.models.map(({ name }) => need(name, { rate: 2, work: 3000 }));
-        const { plan, looks } = planFor(needs);
+        const { plan, evaluations } = planFor(needs);
         expect(plan.orders).toEqual([]);
-        // A few looks a model; each engine for each model would be 200,000.
-        expect(looks).toBeLessThan(2000);
+        // A few evaluations for each model; evaluating each engine for each model would take 200,000.
+        expect(evaluations).toBeLessThan(2000);
     });
 
-    it("begins as many loads from the store as the store bears, the ones that are waited for first", () => {
-        // Eight engines have made room for models that hardly anybody asks for; eight models that many ask for
-        // are held by nobody.
-        const wanted = Array.from({ length: 8 }, (_, index) => `m${100 + index}`);
+    it("starts as many loads as the store allows, models with unserved requests first", () => {
+        // Eight engines have freed memory for models with little demand; eight models with high demand have no replica.
+        const unserved = Array.from({ length: 8 }, (_, index) => `m${100 + index}`);
         const fleet = engines.map((one, index) => {
-            const names = [...one.models.keys()].filter(name => !wanted.includes(name));
+            const names = [...one.models.keys()].filter(name => !unserved.includes(name));
             return index < 8
                 ? engine(one.id, names.slice(0, 2), { coming: `m${200 + index}` })
                 : engine(one.id, names);
         });
         const needs = largeSpec.models.map(({ name }) =>
-            wanted.includes(name)
+            unserved.includes(name)
                 ? need(name, { rate: 12, work: 9000, lacking: 40 })
                 : need(name, { rate: 0.1, work: 100 })
         );
         const { plan } = planFor(needs, 16, fleet);
-        const begun = plan.orders.filter(({ order }) => order.kind === "load").map(({ order }) => order.model);
-        const madeRoomFor = plan.orders.flatMap(({ coming }) => coming ?? []);
-        expect([...begun, ...madeRoomFor].filter(name => wanted.includes(name)).sort()).toEqual(wanted);
+        const loaded = plan.orders.filter(({ order }) => order.kind === "load").map(({ order }) => order.model);
+        const madeRoomFor = plan.orders.flatMap(({ makesRoomFor }) => makesRoomFor ?? []);
+        expect([...loaded, ...madeRoomFor].filter(name => unserved.includes(name)).sort()).toEqual(unserved);
     });
 
-    it("still finds the one that is short", () => {
+    it("finds the one model that is short of replicas", () => {
         const needs = largeSpec.models.map(({ name }) => need(name, { rate: 2, work: 3000 }));
         needs[5] = need("m5", { rate: 40, work: 20_000 });
         const { plan } = planFor(needs);
-        expect(plan.orders.map(({ coming, order }) => coming ?? order.model)).toEqual(["m5"]);
+        expect(plan.orders.map(({ makesRoomFor, order }) => makesRoomFor ?? order.model)).toEqual(["m5"]);
     });
 });
--- a/packages/fleet/src/tests/plans.test.ts
+++ b/packages/fleet/src/tests/plans.test.ts
@@ -9,7 +9,7 @@
     spec,
     engines: [],
     needs: [],
-    storeStarts: 1,
+    storeLoadBudget: 1,
     capacityOf: () => 10_000,
 };
 
@@ -21,65 +21,65 @@
     return `${id}: ${order.kind} ${order.model}${order.adapter === "" ? "" : `/${order.adapter}`}`;
 }
 
-/** Loads of a model, and unloads that make room for it. */
+/** Orders that load a model or make room for it. */
 function planFor(model: string, values: Partial<PlanInput>): string[] {
     return planOrders({ ...base, ...values }).orders
-        .filter(({ order, coming }) => coming === model || (order.kind === "load" && order.model === model))
+        .filter(({ order, makesRoomFor }) => makesRoomFor === model || (order.kind === "load" && order.model === model))
         .map(describePlanned);
 }
 
 describe("planOrders", () => {
-    describe("a model that nobody holds", () => {
-        const lacking = need("m4", { lacking: 1 });
+    describe("a model without replicas", () => {
+        const unserved = need("m4", { lacking: 1 });
         const full = ["m1", "m2", "m3"];
 
-        it("is loaded where there is room", () => {
-            expect(planFor("m4", { engines: [engine("e1", full), engine("e2", ["m1"])], needs: [lacking] }))
+        it("is loaded on an engine with enough free memory", () => {
+            expect(planFor("m4", { engines: [engine("e1", full), engine("e2", ["m1"])], needs: [unserved] }))
                 .toEqual(["e2: load m4"]);
         });
 
-        it("comes from a copy rather than from the store", () => {
+        it("is loaded from a host's copy rather than from the store", () => {
             const engines = [engine("e1", ["m1"]), engine("e2", ["m1"], { onDisk: new Set(["m4"]) })];
-            expect(planFor("m4", { engines, needs: [lacking] })).toEqual(["e2: load m4"]);
+            expect(planFor("m4", { engines, needs: [unserved] })).toEqual(["e2: load m4"]);
         });
 
-        it("comes from a copy though room has to be made for it", () => {
+        it("is loaded from a host's copy even if another model must be evicted", () => {
             const engines = [
                 engine("e1", ["m1"]),
                 engine("e2", full, { onDisk: new Set(["m1", "m2", "m3", "m4"]) }),
             ];
-            expect(planFor("m4", { engines, needs: [lacking] })).toEqual(["e2: unload m1"]);
+            expect(planFor("m4", { engines, needs: [unserved] })).toEqual(["e2: unload m1"]);
         });
 
-        it("waits while the store takes no more", () => {
-            const values = { engines: [engine("e1", ["m1"])], needs: [lacking], storeStarts: 0 };
+        it("is not loaded from the store while no store load may start", () => {
+            const values = { engines: [engine("e1", ["m1"])], needs: [unserved], storeLoadBudget: 0 };
             expect(planFor("m4", values)).toEqual([]);
         });
 
-        it("takes the place of a replica that is not needed, and not of a last one", () => {
-            const needs = [lacking, need("m1", { work: 10 }), need("m2"), need("m3")];
+        it("replaces a redundant replica, but not the last one of a model in use", () => {
+            const needs = [unserved, need("m1", { work: 10 }), need("m2"), need("m3")];
             expect(planFor("m4", { engines: [engine("e1", full)], needs })).toEqual([]);
             expect(planFor("m4", { engines: [engine("e1", full), engine("e2", full)], needs }))
                 .toEqual(["e1: unload m1"]);
         });
 
-        it("takes the place of a last replica that nobody asks for", () => {
+        it("replaces the last replica of a model without demand", () => {
             const onDisk = new Set(["m1", "m2", "m3", "m4"]);
-            const needs = [lacking, need("m1"), need("m2", { idleMs: 30_000, rate: 0, work: 0 }), need("m3")];
+            const needs = [unserved, need("m1"), need("m2", { idleMs: 30_000, rate: 0, work: 0 }), need("m3")];
             expect(planFor("m4", { engines: [engine("e1", full, { onDisk })], needs })).toEqual(["e1: unload m2"]);
         });
 
-        it("is not loaded twice while it is on its way", () => {
+        it("is not loaded on a second engine while memory is being freed for it on another", () => {
             const engines = [engine("e1", ["m1", "m2"], { coming: "m4", takesModels: false }), engine("e2", ["m1"])];
-            expect(planFor("m4", { engines, needs: [lacking] })).toEqual([]);
+            expect(planFor("m4", { engines, needs: [unserved] })).toEqual([]);
         });
 
-        it("is loaded where room was made for it", () => {
+        it("is loaded on the engine where memory was freed for it", () => {
             const engines = [engine("e1", ["m1", "m2"], { coming: "m4" }), engine("e2", full)];
-            expect(planFor("m4", { engines, needs: [lacking] })).toEqual(["e1: load m4"]);
+            expect(planFor("m4", { engines, needs: [unserved] })).toEqual(["e1: load m4"]);
         });
 
-        it("is loaded though all engines have more work than they can do", () => {
+        it("is loaded even if all engines are overloaded", () => {
             const needs = [
                 need("m1", { rate: 20, work: 60_000 }),
                 need("m4", { rate: 10, work: 30_000, lacking: 20 }),
@@ -88,7 +88,7 @@
             expect(planFor("m4", { engines, needs }).length).toEqual(1);
         });
 
-        it("does not bring back what was given up for it at the cost of a third one", () => {
+        it("does not cause a model that it replaces to evict a third one", () => {
             const engines = [
                 engine("e1", ["m1"], { onDisk: new Set(["m4"]) }),
                 engine("e2", ["m3"], { onDisk: new Set(["m1"]) }),
@@ -98,45 +98,45 @@
         });
     });
 
-    it("tells which models are waited for and get nothing", () => {
+    it("reports models with unserved requests that it loads nowhere", () => {
         const needs = ["m1", "m2", "m3"].map(model => need(model));
         const engines = [engine("e1", ["m1", "m2", "m3"])];
         const { unmet } = planOrders({ ...base, engines, needs: [...needs, need("m4", { lacking: 1 })] });
-        expect(unmet.map(({ model, freeEngines }) => [model, freeEngines])).toEqual([["m4", 1]]);
+        expect(unmet.map(({ model, availableEngines }) => [model, availableEngines])).toEqual([["m4", 1]]);
     });
 
-    describe("a model that nobody asks for", () => {
-        it("takes room that is free, so that the first ones to ask need not wait", () => {
+    describe("a model without demand", () => {
+        it("is loaded into free memory, so that its first requests need not wait", () => {
             expect(plan({ engines: [engine("e1", ["m1", "m2", "m3"]), engine("e2", ["m1", "m2"])] }))
                 .toEqual(["e2: load m4"]);
         });
 
-        it("leaves two replicas of others before any demand is heard", () => {
+        it("leaves two replicas of other models before any demand is known", () => {
             const full = ["m1", "m2", "m3"];
             const two = [engine("e1", full), engine("e2", full)];
             expect(plan({ engines: two })).toEqual([]);
             expect(plan({ engines: [...two, engine("e3", full)] })).toEqual(["e1: unload m1"]);
         });
 
-        it("takes the place of none that is in use", () => {
+        it("replaces no model that is in use", () => {
             const needs = ["m1", "m2", "m3"].map(model => need(model));
             expect(plan({ engines: [engine("e1", ["m1", "m2", "m3"])], needs })).toEqual([]);
         });
     });
 
-    describe("a model with more work than its replicas can do", () => {
+    describe("a model with more demand than its replicas can serve", () => {
         it("gets another replica", () => {
             const engines = [engine("e1", ["m1"]), engine("e2", ["m2"])];
             expect(planFor("m1", { engines, needs: [need("m1", { work: 9000 })] })).toEqual(["e2: load m1"]);
         });
 
-        it("gets none while nobody knows what an engine can do", () => {
+        it("gets no replica while the capacity of engines is unknown", () => {
             const engines = [engine("e1", ["m1"]), engine("e2", ["m2"])];
             const needs = [need("m1", { work: 9000 })];
             expect(planFor("m1", { engines, needs, capacityOf: () => undefined })).toEqual([]);
         });
 
-        it("takes no place of one that many requests run on, where another would do", () => {
+        it("replaces a model with few running requests rather than one with many", () => {
             const engines = [engine("e1", ["m1"]), engine("e2", ["m2", "m3", "m4"]), engine("e3", ["m2", "m3", "m4"])];
             const needs = [
                 need("m1", { rate: 10, work: 20_000 }),
@@ -147,7 +147,7 @@
             expect(planFor("m1", { engines, needs })).toEqual(["e2: unload m3"]);
         });
 
-        it("gets none from the store at the cost of a model that is in use", () => {
+        it("does not evict a model in use for a load from the store", () => {
             const engines = [engine("e1", ["m1"]), engine("e2", ["m2", "m3", "m4"])];
             const needs = [need("m1", { work: 9000 }), ...["m2", "m3", "m4"].map(model => need(model))];
             expect(planFor("m1", { engines, needs })).toEqual([]);
@@ -155,7 +155,7 @@
     });
 
     describe("an adapter", () => {
-        const wanted = need("m1", { lacking: 1 }, "a1");
+        const unserved = need("m1", { lacking: 1 }, "a1");
         const holding = (adapters: readonly string[]): Partial<PlannedEngine> => ({
             models: new Map([["m1", {
                 ready: true,
@@ -164,41 +164,41 @@
             }]]),
         });
 
-        it("is loaded on an engine that holds its model", () => {
+        it("is loaded on an engine that has loaded its model", () => {
             const engines = [engine("e1", ["m1", "m2"]), engine("e2", ["m3", "m4"])];
-            expect(plan({ engines, needs: [wanted] })).toEqual(["e1: load m1/a1"]);
+            expect(plan({ engines, needs: [unserved] })).toEqual(["e1: load m1/a1"]);
         });
 
-        it("keeps its engine from loading a model while it is waited for", () => {
+        it("with unserved requests keeps its engine from loading a model", () => {
             const engines = [engine("e1", ["m1"], { freeTransits: 0 })];
-            const needs = [wanted, need("m4", { lacking: 1 })];
+            const needs = [unserved, need("m4", { lacking: 1 })];
             expect(plan({ engines, needs })).toEqual([]);
             expect(plan({ engines, needs: [need("m4", { lacking: 1 })] })).toEqual(["e1: load m4"]);
         });
 
-        it("takes the place of the one that is idle for longest", () => {
+        it("replaces the adapter that has been idle for longest", () => {
             const engines = [engine("e1", [], holding(["a2", "a3"]))];
             const needs = [
-                wanted,
+                unserved,
                 need("m1", { idleMs: 5000, rate: 0, work: 0 }, "a2"),
                 need("m1", { idleMs: 9000, rate: 0, work: 0 }, "a3"),
             ];
             expect(plan({ engines, needs })).toEqual(["e1: unload m1/a3"]);
         });
 
-        it("is not loaded again for what was asked long ago", () => {
+        it("is not loaded for requests of long ago", () => {
             const engines = [engine("e1", [], holding(["a2", "a3"])), engine("e2", ["m2", "m3", "m4"])];
             expect(plan({ engines, needs: [need("m1", { rate: 0.001, work: 1, idleMs: 5000 }, "a1")] })).toEqual([]);
         });
 
-        it("takes no place of one that is in use", () => {
+        it("replaces no adapter that is in use", () => {
             const engines = [engine("e1", [], holding(["a2", "a3"]))];
-            expect(plan({ engines, needs: [wanted, need("m1", {}, "a2"), need("m1", { running: 1 }, "a3")] }))
+            expect(plan({ engines, needs: [unserved, need("m1", {}, "a2"), need("m1", { running: 1 }, "a3")] }))
                 .toEqual([]);
         });
     });
 
-    it("never plans more than an engine has room for (seed 20261202)", () => {
+    it("never plans a load that exceeds an engine's memory or adapter slots (seed 20261202)", () => {
         const names = spec.models.map(model => model.name);
         const held = fc.record({ ready: fc.boolean(), leaving: fc.boolean(), adapters: fc.subarray(["a1", "a2"]) });
         const anyEngine = fc.record({
@@ -214,34 +214,38 @@
             idleMs: fc.integer({ min: 0, max: 30_000 }),
         });
         fc.assert(
-            fc.property(fc.array(anyEngine, { maxLength: 4 }), fc.array(anyNeed, { maxLength: 6 }), (some, wants) => {
-                const engines = some.map((one, index) =>
-                    engine(`e${index}`, [], {
-                        coming: one.coming,
-                        takesModels: one.takesModels,
-                        models: new Map(
-                            Object.entries(one.models).map(([name, model]) => [
-                                name,
-                                { ...model, adapters: new Map(model.adapters.map(adapter => [adapter, "held"])) },
-                            ]),
-                        ),
-                    })
-                );
-                const needs = wants.map(({ model, adapter, ...values }) => need(model, values, adapter));
-                const { orders } = planOrders({
-                    service: "s",
-                    spec,
-                    engines,
-                    needs,
-                    storeStarts: 1,
-                    capacityOf: () => 10_000,
-                });
-                for (const { engine: id, order } of orders.filter(one => one.order.kind === "load")) {
-                    const models = engines.find(one => one.id === id)!.models;
-                    expect(usedMb(models) + (order.adapter === "" ? 100 : 1) <= spec.memoryMb).toEqual(true);
-                    expect(order.adapter === "" || adapterCount(models) < spec.adapterPlaces).toEqual(true);
-                }
-            }),
+            fc.property(
+                fc.array(anyEngine, { maxLength: 4 }),
+                fc.array(anyNeed, { maxLength: 6 }),
+                (engineValues, needValues) => {
+                    const engines = engineValues.map((values, index) =>
+                        engine(`e${index}`, [], {
+                            coming: values.coming,
+                            takesModels: values.takesModels,
+                            models: new Map(
+                                Object.entries(values.models).map(([name, model]) => [
+                                    name,
+                                    { ...model, adapters: new Map(model.adapters.map(adapter => [adapter, "held"])) },
+                                ]),
+                            ),
+                        })
+                    );
+                    const needs = needValues.map(({ model, adapter, ...values }) => need(model, values, adapter));
+                    const { orders } = planOrders({
+                        service: "s",
+                        spec,
+                        engines,
+                        needs,
+                        storeLoadBudget: 1,
+                        capacityOf: () => 10_000,
+                    });
+                    for (const { engine: id, order } of orders.filter(one => one.order.kind === "load")) {
+                        const models = engines.find(one => one.id === id)!.models;
+                        expect(usedMb(models) + (order.adapter === "" ? 100 : 1) <= spec.memoryMb).toEqual(true);
+                        expect(order.adapter === "" || adapterCount(models) < spec.adapterPlaces).toEqual(true);
+                    }
+                },
+            ),
             { seed: 20261202, numRuns: 300 },
         );
     });
--- a/packages/fleet/src/tests/storepaces.test.ts
+++ b/packages/fleet/src/tests/storepaces.test.ts
@@ -1,24 +1,24 @@
 import { expect } from "earl";
 import { describe, it } from "node:test";
-import { StorePace } from "../index.js";
+import { StoreLoadLimiter } from "../index.js";
 
 describe("StorePace", () => {
-    const perSecond = 8;
+    const loadsPerSecond = 8;
 
-    it("lets a new leader start what no engine can have under way from an earlier one", t => {
+    it("lets a new leader start the loads that no engine can still run for an earlier one", t => {
         t.mock.timers.enable({ apis: ["Date"], now: 1_000_000 });
-        const pace = new StorePace(5000);
-        expect(pace.free(perSecond, StorePace.inherited(2, 7800))).toEqual(38);
-        pace.started();
-        expect(pace.free(perSecond, StorePace.inherited(2, 7800))).toEqual(37);
+        const limiter = new StoreLoadLimiter(5000);
+        expect(limiter.availableStarts(loadsPerSecond, StoreLoadLimiter.maxInheritedStarts(2, 7800))).toEqual(38);
+        limiter.recordStart();
+        expect(limiter.availableStarts(loadsPerSecond, StoreLoadLimiter.maxInheritedStarts(2, 7800))).toEqual(37);
     });
 
-    it("starts no more than the spare ones while engines were not seen, or loads may have ended unseen", t => {
+    it("allows only the takeover starts while an earlier leader's loads are unknown", t => {
         t.mock.timers.enable({ apis: ["Date"], now: 1_000_000 });
-        const pace = new StorePace(5000);
-        expect(pace.free(perSecond, StorePace.inherited(40, 7800))).toEqual(3);
-        expect(pace.free(perSecond, StorePace.inherited(0, 4000))).toEqual(3);
+        const limiter = new StoreLoadLimiter(5000);
+        expect(limiter.availableStarts(loadsPerSecond, StoreLoadLimiter.maxInheritedStarts(40, 7800))).toEqual(3);
+        expect(limiter.availableStarts(loadsPerSecond, StoreLoadLimiter.maxInheritedStarts(0, 4000))).toEqual(3);
         t.mock.timers.tick(5000);
-        expect(pace.free(perSecond, StorePace.inherited(40, 7800))).toEqual(40);
+        expect(limiter.availableStarts(loadsPerSecond, StoreLoadLimiter.maxInheritedStarts(40, 7800))).toEqual(40);
     });
 });
--- a/packages/fleet/src/tests/takeovers.test.ts
+++ b/packages/fleet/src/tests/takeovers.test.ts
@@ -6,15 +6,15 @@
 
 const key = { service: "s", model: "m", adapter: "" };
 
-describe("a leader that takes over", () => {
-    async function pass(t: { mock: { timers: { tick(ms: number): void; }; }; }, ms: number): Promise<void> {
-        for (let passed = 0; passed < ms; passed += 5) {
+describe("a new leader", () => {
+    async function advanceTime(t: { mock: { timers: { tick(ms: number): void; }; }; }, ms: number): Promise<void> {
+        for (let elapsedMs = 0; elapsedMs < ms; elapsedMs += 5) {
             t.mock.timers.tick(5);
             await new Promise(resolve => setImmediate(resolve));
         }
     }
 
-    it("hears from each entry's first report what was asked for before it began", async t => {
+    it("learns earlier demand from each entry's first report", async t => {
         t.mock.timers.enable({ apis: ["Date", "setTimeout"], now: 1_000_000 });
         let book = new DemandBook(silentLog);
         let followed: FollowedLeader = { url: "http://a", epoch: "1" };
@@ -29,8 +29,8 @@
         };
         const clients = { client: () => client, forget: () => undefined } as unknown as PeerClients;
         const meter = new DemandMeter(silentLog);
-        const end = new AbortController();
-        void meter.run("e", clients, () => followed, end.signal);
+        const abort = new AbortController();
+        void meter.run("e", clients, () => followed, abort.signal);
         for (let second = 0; second < 12; second++) {
             for (let number = 0; number < 20; number++) {
                 meter.arrived(key, 2000);
@@ -38,21 +38,21 @@
                 meter.ended(key);
             }
             meter.paceOf("s", "m", 9000);
-            await pass(t, 1000);
+            await advanceTime(t, 1000);
         }
         const before = book.needs()[0];
         book = new DemandBook(silentLog);
         followed = { url: "http://b", epoch: "2" };
         meter.arrived(key, 2000);
-        await pass(t, 1200);
+        await advanceTime(t, 1200);
         const [after] = book.needs();
         expect(book.isHeard).toEqual(true);
         expect(Math.abs(after.rate / before.rate - 0.8)).toBeLessThan(0.2);
         expect(book.paceOf("s", "m")).toEqual(9000);
-        end.abort();
+        abort.abort();
     });
 
-    it("that nobody tells of the past waits for three reports", t => {
+    it("that receives no earlier demand waits for three reports", t => {
         t.mock.timers.enable({ apis: ["Date"], now: 1_000_000 });
         const book = new DemandBook(silentLog);
         t.mock.timers.tick(1000);
--- a/packages/fleet/src/tests/times.ts
+++ b/packages/fleet/src/tests/times.ts
@@ -1,12 +1,12 @@
-/** Paused time for tests that let whole tasks run in it. */
+/** Mocked time for tests of asynchronous tasks. */
 import { mock } from "node:test";
 
-/** Time moves in steps of so many milliseconds. */
+/** Step in which mocked time advances, in milliseconds. */
 const stepMs = 5;
 
-/** Lets so many milliseconds of paused time pass, and everything run that is due meanwhile. */
+/** Advances mocked time, and runs the timers and tasks that become due. */
 export async function pass(ms: number): Promise<void> {
-    for (let passed = 0; passed < ms; passed += stepMs) {
+    for (let elapsedMs = 0; elapsedMs < ms; elapsedMs += stepMs) {
         mock.timers.tick(stepMs);
         await new Promise(resolve => setImmediate(resolve));
     }
