--- a/packages/fleet/src/demands.ts
+++ b/packages/fleet/src/demands.ts
@@ -1,161 +1,167 @@
-/** What callers ask for, as the leader hears it from all entries. */
+/** Aggregates demand at the leader from the reports of all entries. */
 import { type EventLog, steadyNow } from "@winchpath/core";
 import { type DemandRequest, type EnginePace, type ItemDemand } from "./gen/winchpath/fleet/v1/fleet_pb.js";
 import { type ItemKey, itemName, modelName } from "./items.js";
 
-/** An entry's counts are left out after this long without a report: three reports at the usual half second. */
-const staleMs = 2000;
-/**
- * Rates halve in this time without requests. Demand moves within a few seconds;
- * with less, a single request would look like a model that becomes busy.
- */
+/** An entry's counts are ignored after this long without a report, in milliseconds. */
+const reportExpiryMs = 2000;
+/** Half-life of the request rate averages, in milliseconds; if shorter, a single request would look like rising demand. */
 export const halfLifeMs = 3000;
-/** What one request adds to an average that fades so. */
-const perSecond = Math.LN2 / (halfLifeMs / 1000);
-/** A refused request may come again within this time, a third of a usual deadline. */
-const refusedMs = 3000;
-/** A request is reported within this time of its arrival. */
-const reportedWithinMs = 500;
-/** Share of one entry's report in what is known of a pace. */
-const paceShare = 0.3;
-/** What was not asked for in this time is forgotten. */
-const forgetMs = 120_000;
-
-/** Nothing is ordered before demand was heard for this long: three reports of each entry. */
-const leastHeardMs = 1500;
-/** The same where entries told what was asked for before: one report of each. */
-const leastToldMs = 600;
-
-const nothing: ReadonlySet<string> = new Set();
-
-/** Demand for one model or adapter over all entries. */
+/** Contribution of one request to an exponentially decaying rate average. */
+const ratePerRequest = Math.LN2 / (halfLifeMs / 1000);
+/** A rejected request counts as unserved for this long, since the client may retry it, in milliseconds. */
+const refusalWindowMs = 3000;
+/** Entries report a request at most this long after its arrival, in milliseconds. */
+const maxReportDelayMs = 500;
+/** Weight of a new report in the moving average of a model's throughput. */
+const throughputWeight = 0.3;
+/** Items without requests for this long are removed, in milliseconds. */
+const retentionMs = 120_000;
+
+/** Reports are collected for this long before demand is acted upon, in milliseconds. */
+const minObservationMs = 1500;
+/** The same if entries have reported their history, in milliseconds: enough for one report from each. */
+const minObservationWithHistoryMs = 600;
+
+const emptySet: ReadonlySet<string> = new Set();
+
+/** Demand for one model or adapter across all entries. */
 export interface ItemNeed {
     readonly key: ItemKey;
-    /** Requests a second, smoothed. */
+    /** Smoothed requests per second. */
     readonly rate: number;
-    /** What those need of engines, in tokens of a prompt a second. */
+    /** Cost of these requests, in prompt tokens per second. */
     readonly work: number;
-    /** Requests that run now. */
+    /** Requests that are running. */
     readonly running: number;
-    /** Requests that wait, or were refused lately, since nobody holds it. */
+    /** Requests that wait or were recently rejected because no upstream holds the item. */
     readonly lacking: number;
-    /** Milliseconds since it was last asked for. */
+    /** Milliseconds since the last request. */
     readonly idleMs: number;
 }
 
-interface Counts {
-    readonly at: number;
+interface EntryCounts {
+    readonly receivedAt: number;
     readonly running: number;
     readonly waiting: number;
 }
 
-interface Item {
+interface ItemRecord {
     readonly key: ItemKey;
-    readonly byEntry: Map<string, Counts>;
+    readonly countsByEntry: Map<string, EntryCounts>;
     rate: number;
     work: number;
-    ratedAt: number;
-    askedAt: number;
+    updatedAt: number;
+    lastRequestAt: number;
     refusals: { readonly at: number; readonly count: number; }[];
 }
 
+/** Demand and throughput per item, from the reports of all entries. */
 export class DemandBook {
-    private readonly items = new Map<string, Item>();
-    private readonly paces = new Map<string, number>();
-    /** Models that requests wait for, by entry, as each has reported last. */
-    private readonly awaited = new Map<string, ReadonlySet<string>>();
-    private readonly since = steadyNow();
-    /** Since when entries tell what was asked for before; undefined where none did. */
-    private toldSince: number | undefined;
+    private readonly items = new Map<string, ItemRecord>();
+    private readonly throughputs = new Map<string, number>();
+    /** Models that requests wait for in each entry's latest report. */
+    private readonly awaitedByEntry = new Map<string, ReadonlySet<string>>();
+    private readonly startedAt = steadyNow();
+    /** When an entry first reported demand history; undefined if none has. */
+    private historySince: number | undefined;
 
     public constructor(private readonly log: EventLog) {}
 
     public take(report: DemandRequest): void {
-        report.items.forEach(demand => this.takeItem(report.entry, demand));
+        report.items.forEach(demand => this.updateItem(report.entry, demand));
         const waiting = report.items.filter(item => item.waiting > 0);
-        this.awaited.set(report.entry, new Set(waiting.map(item => modelName(item.service, item.model))));
-        report.paces.forEach(pace => this.takePace(pace));
+        this.awaitedByEntry.set(report.entry, new Set(waiting.map(item => modelName(item.service, item.model))));
+        report.paces.forEach(pace => this.updateThroughput(pace));
     }
 
-    /** What an engine can read for a model in a second, in tokens of a prompt; undefined where nobody knows. */
+    /** Prompt tokens per second that an engine processes for a model; undefined if unknown. */
     public paceOf(service: string, model: string): number | undefined {
-        return this.paces.get(modelName(service, model));
+        return this.throughputs.get(modelName(service, model));
     }
 
-    /** Models that requests wait for at an entry, by {@link modelName}. */
+    /** Models that requests wait for at an entry, as {@link modelName} keys. */
     public awaitedAt(entry: string): ReadonlySet<string> {
-        return this.awaited.get(entry) ?? nothing;
+        return this.awaitedByEntry.get(entry) ?? emptySet;
     }
 
-    /** Whether enough is known of demand to act on it. */
+    /** Whether enough reports have been received to act on demand. */
     public get isHeard(): boolean {
         const now = steadyNow();
-        const told = this.toldSince !== undefined && now - this.toldSince >= leastToldMs;
-        return told || now - this.since >= leastHeardMs;
+        const hasHistory = this.historySince !== undefined && now - this.historySince >= minObservationWithHistoryMs;
+        return hasHistory || now - this.startedAt >= minObservationMs;
     }
 
-    /** All that was asked for lately. */
+    /** Demand for all items requested within the retention time. */
     public needs(): ItemNeed[] {
-        this.forgetOld();
-        // Averages that have just begun tell of less than there is.
-        const heardMs = Math.max(halfLifeMs / 2, steadyNow() - this.since);
-        const heardShare = this.toldSince === undefined ? 1 - 2 ** (-heardMs / halfLifeMs) : 1;
-        return [...this.items.values()].map(item => needOf(item, heardShare));
+        this.removeExpired();
+        // Corrects for averages that started at zero recently and underestimate the rate.
+        const observedMs = Math.max(halfLifeMs / 2, steadyNow() - this.startedAt);
+        const observedShare = this.historySince === undefined ? 1 - 2 ** (-observedMs / halfLifeMs) : 1;
+        return [...this.items.values()].map(item => needOf(item, observedShare));
     }
 
-    private takePace(pace: EnginePace): void {
-        const name = modelName(pace.service, pace.model);
-        const before = this.paces.get(name) ?? pace.tokensPerSecond;
-        this.paces.set(name, before + (pace.tokensPerSecond - before) * paceShare);
+    private updateThroughput(report: EnginePace): void {
+        const name = modelName(report.service, report.model);
+        const previous = this.throughputs.get(name) ?? report.tokensPerSecond;
+        this.throughputs.set(name, previous + (report.tokensPerSecond - previous) * throughputWeight);
     }
 
-    private takeItem(entry: string, demand: ItemDemand): void {
+    private updateItem(entry: string, demand: ItemDemand): void {
         const now = steadyNow();
         const key = { service: demand.service, model: demand.model, adapter: demand.adapter };
         const name = itemName(key);
         let item = this.items.get(name);
         if (item === undefined) {
-            item = { key, byEntry: new Map(), rate: 0, work: 0, ratedAt: now, askedAt: now, refusals: [] };
+            item = {
+                key,
+                countsByEntry: new Map(),
+                rate: 0,
+                work: 0,
+                updatedAt: now,
+                lastRequestAt: now,
+                refusals: [],
+            };
             this.items.set(name, item);
         }
-        item.byEntry.set(entry, { at: now, running: demand.running, waiting: demand.waiting });
-        const kept = keptShare(item, now);
-        item.rate = item.rate * kept + (demand.arrived + demand.earlier) * perSecond;
-        item.work = item.work * kept + (Number(demand.work) + demand.earlierWork) * perSecond;
-        item.ratedAt = now;
+        item.countsByEntry.set(entry, { receivedAt: now, running: demand.running, waiting: demand.waiting });
+        const decay = decayFactor(item, now);
+        item.rate = item.rate * decay + (demand.arrived + demand.earlier) * ratePerRequest;
+        item.work = item.work * decay + (Number(demand.work) + demand.earlierWork) * ratePerRequest;
+        item.updatedAt = now;
         if (demand.refused > 0) {
             item.refusals.push({ at: now, count: demand.refused });
         }
         if (demand.earlier > 0) {
-            this.toldSince ??= now;
+            this.historySince ??= now;
         }
         if (demand.arrived + demand.running + demand.waiting > 0) {
-            item.askedAt = now;
+            item.lastRequestAt = now;
         }
         if (demand.waiting + demand.refused > 0) {
             this.log.info("demand.lacking", { entry, item: name, waiting: demand.waiting, refused: demand.refused });
         }
     }
 
-    private forgetOld(): void {
+    private removeExpired(): void {
         const now = steadyNow();
         for (const [name, item] of this.items) {
-            item.refusals = item.refusals.filter(refusal => now - refusal.at < refusedMs);
-            if (now - item.askedAt > forgetMs) {
+            item.refusals = item.refusals.filter(refusal => now - refusal.at < refusalWindowMs);
+            if (now - item.lastRequestAt > retentionMs) {
                 this.items.delete(name);
             }
         }
     }
 }
 
-function needOf(item: Item, heardShare: number): ItemNeed {
+function needOf(item: ItemRecord, observedShare: number): ItemNeed {
     const now = steadyNow();
-    const idleMs = now - item.askedAt;
-    // Silence tells sooner than the average that demand has moved on.
-    const average = item.rate * keptShare(item, now) / heardShare;
-    const rate = Math.min(average, 1000 / Math.max(1, idleMs - reportedWithinMs));
+    const idleMs = now - item.lastRequestAt;
+    // The time since the last request bounds the rate sooner than the average decays.
+    const average = item.rate * decayFactor(item, now) / observedShare;
+    const rate = Math.min(average, 1000 / Math.max(1, idleMs - maxReportDelayMs));
     const workPerRequest = item.rate > 0 ? item.work / item.rate : 0;
-    const fresh = [...item.byEntry.values()].filter(counts => now - counts.at < staleMs);
+    const fresh = [...item.countsByEntry.values()].filter(counts => now - counts.receivedAt < reportExpiryMs);
     const waiting = sum(fresh.map(counts => counts.waiting));
     return {
         key: item.key,
@@ -167,9 +173,9 @@
     };
 }
 
-/** What is left of an average after the time since it was last brought up to date. */
-function keptShare(item: Item, now: number): number {
-    return 2 ** (-(now - item.ratedAt) / halfLifeMs);
+/** Factor by which an average has decayed since its last update. */
+function decayFactor(item: ItemRecord, now: number): number {
+    return 2 ** (-(now - item.updatedAt) / halfLifeMs);
 }
 
 function sum(numbers: readonly number[]): number {
--- a/packages/fleet/src/gatherers.ts
+++ b/packages/fleet/src/gatherers.ts
@@ -1,101 +1,102 @@
 /**
- * What a host does with announcements that say nothing new. A fleet of three thousand upstreams announces
- * itself 2,500 times a second; whole, each word takes the leader as long as a request takes an entry. So
- * hosts that upstreams call keep what they passed on, and tell the leader of many at once that they live.
+ * Reduces the leader's load from announcements: a host forwards an upstream's announcement in full only if its content
+ * has changed, and batches unchanged ones into heartbeats.
  */
 import { type EventLog, messageOf, sleep, steadyNow } from "@winchpath/core";
 import { type Announcement, type HeldModel } from "./gen/winchpath/fleet/v1/fleet_pb.js";
 
-/** Words that say nothing new travel together, in milliseconds: a fifth of the usual time between two of them. */
-export const gatherMs = 250;
-/** A host that has not heard the leader for this long passes everything on whole, in milliseconds. */
-const inTouchMs = 1000;
+/** Interval at which unchanged announcements are sent to the leader as a batch, in milliseconds. */
+export const batchIntervalMs = 250;
+/** After this long without an answer from the leader all announcements are forwarded in full, in milliseconds. */
+const leaderContactMs = 1000;
 
-/** What the gatherer asks of the leader. */
+/** Connection to the leader that announcements are forwarded to. */
 export interface AnnouncementLeader {
-    /** Identity of the leader, where one is known; another one knows nothing of before. */
+    /** URL of the current leader; empty if unknown. */
     readonly leaderUrl: string;
-    /** Takes one whole. */
+    /** Forwards one announcement in full. */
     announce(announcement: Announcement): Promise<void>;
-    /** Tells that upstreams live; gives the ids that the leader doesn't know. */
+    /** Sends heartbeats of upstreams; returns the ids that the leader does not know. */
     reaffirm(upstreams: readonly Reaffirmed[]): Promise<readonly string[]>;
 }
 
+/** Heartbeat of an upstream whose announcement has not changed. */
 export interface Reaffirmed {
     readonly id: string;
     readonly sequence: bigint;
 }
 
-interface Passed {
+interface ForwardedAnnouncement {
     readonly leaderUrl: string;
     readonly content: string;
     sequence: bigint;
 }
 
+/** Forwards changed announcements to the leader at once, and unchanged ones as batched heartbeats. */
 export class AnnouncementGatherer {
-    private readonly passed = new Map<string, Passed>();
-    private waiting = new Map<string, Announcement>();
-    /** Steady time at which the leader last answered. */
-    private answeredAt = Number.NEGATIVE_INFINITY;
+    private readonly forwarded = new Map<string, ForwardedAnnouncement>();
+    private pending = new Map<string, Announcement>();
+    /** Steady time of the leader's last answer. */
+    private lastContactAt = Number.NEGATIVE_INFINITY;
 
     public constructor(private readonly leader: AnnouncementLeader, private readonly log: EventLog) {}
 
-    /** Returns once the leader knows what an upstream says, now or already. */
+    /** Resolves once the leader knows the content; unchanged announcements are only queued for the next batch. */
     public async announce(announcement: Announcement): Promise<void> {
         const { id } = announcement.upstream!;
-        const content = contentOf(announcement);
+        const content = serializeContent(announcement);
         const { leaderUrl } = this.leader;
-        const known = this.passed.get(id);
-        const saysNothingNew = known?.content === content && known.leaderUrl === leaderUrl && leaderUrl !== "";
-        if (saysNothingNew && steadyNow() - this.answeredAt < inTouchMs) {
+        const known = this.forwarded.get(id);
+        const isUnchanged = known?.content === content && known.leaderUrl === leaderUrl && leaderUrl !== "";
+        if (isUnchanged && steadyNow() - this.lastContactAt < leaderContactMs) {
             if (announcement.sequence > known.sequence) {
                 known.sequence = announcement.sequence;
-                this.waiting.set(id, announcement);
+                this.pending.set(id, announcement);
             }
             return;
         }
         await this.leader.announce(announcement);
-        this.answeredAt = steadyNow();
-        this.passed.set(id, { leaderUrl, content, sequence: announcement.sequence });
+        this.lastContactAt = steadyNow();
+        this.forwarded.set(id, { leaderUrl, content, sequence: announcement.sequence });
     }
 
-    /** An upstream has left, or its next word is to be passed on whole. */
+    /** Drops an upstream that has left, or whose next announcement must be forwarded in full. */
     public forget(id: string): void {
-        this.passed.delete(id);
-        this.waiting.delete(id);
+        this.forwarded.delete(id);
+        this.pending.delete(id);
     }
 
-    /** Tells the leader until the signal is aborted. */
+    /** Sends batches until the signal is aborted. */
     public async run(signal: AbortSignal): Promise<void> {
         while (!signal.aborted) {
-            await sleep(gatherMs, signal);
-            await this.tell();
+            await sleep(batchIntervalMs, signal);
+            await this.flush();
         }
     }
 
-    private async tell(): Promise<void> {
-        const { waiting } = this;
-        this.waiting = new Map();
-        if (waiting.size === 0) {
+    private async flush(): Promise<void> {
+        const { pending } = this;
+        this.pending = new Map();
+        if (pending.size === 0) {
             return;
         }
         try {
-            const upstreams = [...waiting].map(([id, { sequence }]) => ({ id, sequence }));
+            const upstreams = [...pending].map(([id, { sequence }]) => ({ id, sequence }));
             const unknown = await this.leader.reaffirm(upstreams);
-            this.answeredAt = steadyNow();
-            // A leader that has just begun: it is told whole what was said within the last moment.
-            await Promise.all(unknown.map(id => this.leader.announce(waiting.get(id)!)));
+            this.lastContactAt = steadyNow();
+            // A new leader does not know these upstreams: send their announcements in full.
+            await Promise.all(unknown.map(id => this.leader.announce(pending.get(id)!)));
         }
         catch (err) {
-            // Passed on whole with their next words, within the time after which the leader doubts them.
-            waiting.forEach((_, id) => this.passed.delete(id));
-            this.log.warn("announcements.untold", { count: waiting.size, error: messageOf(err) });
+            // Forward their next announcements in full, before the leader considers them lost.
+            pending.forEach((_, id) => this.forwarded.delete(id));
+            this.log.warn("announcements.untold", { count: pending.size, error: messageOf(err) });
         }
     }
 }
 
-/** All that an announcement says but its number, and how long its upstream stays slow. */
-function contentOf(announcement: Announcement): string {
+/** Serializes an announcement for comparison, without its sequence number and with durations reduced to flags. */
+function serializeContent(announcement: Announcement): string {
     const { upstream, inMemory, onDisk, remainingMs } = announcement;
     const { service, address, dataCentre, slots, state, models, coldMs } = upstream!;
     return JSON.stringify([
@@ -108,10 +109,10 @@
         remainingMs > 0,
         inMemory,
         onDisk,
-        models.map(describeModel),
+        models.map(serializeModel),
     ]);
 }
 
-function describeModel({ name, version, adapters }: HeldModel): unknown[] {
+function serializeModel({ name, version, adapters }: HeldModel): unknown[] {
     return [name, String(version), adapters];
 }
--- a/packages/fleet/src/incarnations.ts
+++ b/packages/fleet/src/incarnations.ts
@@ -1,43 +1,46 @@
 /**
- * Which run of an upstream is meant. An upstream may start again under the name that it had: it then
- * holds and knows nothing of before, so everything that is kept of upstreams goes by incarnation.
+ * Identifies the runs of an upstream. An upstream that restarts under the same name has lost its
+ * state, so everything stored about upstreams is keyed by incarnation.
  */
 import { steadyNow } from "@winchpath/core";
 
-/** Ends are remembered this long, against what was sent before and comes late, in milliseconds. */
-const rememberedMs = 60_000;
+/** How long ended runs are remembered in order to ignore their late messages, in milliseconds. */
+const retentionMs = 60_000;
 
 /** One run of an upstream. */
 export interface Incarnation {
-    /** What the upstream itself goes by. */
+    /** Name of the upstream. */
     readonly name: string;
-    /** Milliseconds since the epoch, by the upstream's own clock; 0 where it tells no start. */
+    /** Start time in milliseconds since the epoch, by the upstream's clock; 0 if unknown. */
     readonly born: bigint;
 }
 
-/** One string for an incarnation, for maps and logs; the name alone where no start is told. */
+/** Formats an incarnation as a string for maps and logs: the name alone if the start time is unknown. */
 export function incarnationId({ name, born }: Incarnation): string {
     return born === 0n ? name : `${name}@${born}`;
 }
 
-/** Whether `one` is a later run than `other` of the same name. */
-export function succeeds(one: Incarnation, other: Incarnation): boolean {
-    return one.name === other.name && one.born > other.born;
+/** Whether `incarnation` is a later run of the same name than `other`. */
+export function succeeds(incarnation: Incarnation, other: Incarnation): boolean {
+    return incarnation.name === other.name && incarnation.born > other.born;
 }
 
-interface Ended {
-    /** The latest run of the name that has ended. */
+interface EndedRun {
+    /** Start time of the latest run that has ended. */
     readonly born: bigint;
-    readonly at: number;
+    readonly endedAt: number;
 }
 
-/** Runs that have ended. An end covers the runs before it, never a later one. */
+/** Runs that have ended. The end of a run implies the end of all earlier runs of its name. */
 export class EndedIncarnations {
-    private readonly byName = new Map<string, Ended>();
+    private readonly byName = new Map<string, EndedRun>();
 
     public end({ name, born }: Incarnation): void {
         const known = this.byName.get(name);
-        this.byName.set(name, { born: known === undefined || born > known.born ? born : known.born, at: steadyNow() });
+        this.byName.set(name, {
+            born: known === undefined || born > known.born ? born : known.born,
+            endedAt: steadyNow(),
+        });
     }
 
     public has({ name, born }: Incarnation): boolean {
@@ -45,15 +48,15 @@
         return known !== undefined && born <= known.born;
     }
 
-    /** Whether a run of the name has ended lately, whichever it was. */
+    /** Whether any run of the name has ended within the retention time. */
     public hasAny(name: string): boolean {
         return this.byName.has(name);
     }
 
     public forgetOld(): void {
-        const limit = steadyNow() - rememberedMs;
-        for (const [name, { at }] of this.byName) {
-            if (at < limit) {
+        const limit = steadyNow() - retentionMs;
+        for (const [name, { endedAt }] of this.byName) {
+            if (endedAt < limit) {
                 this.byName.delete(name);
             }
         }
--- a/packages/fleet/src/meters.ts
+++ b/packages/fleet/src/meters.ts
@@ -1,4 +1,4 @@
-/** Counts at an entry what callers ask for, and tells the leader. */
+/** Counts the requests that arrive at an entry, and reports them to the leader. */
 import { clone, create } from "@bufbuild/protobuf";
 import { type AccountCounts, type Allowance } from "@winchpath/accounts";
 import { AvailabilityBook } from "@winchpath/availability";
@@ -14,117 +14,119 @@
 } from "./gen/winchpath/fleet/v1/fleet_pb.js";
 import { type ItemKey, itemName, modelName } from "./items.js";
 import { ToldLeavers } from "./leavers.js";
-import { PastDemands } from "./pastdemands.js";
+import { DemandHistory } from "./pastdemands.js";
 import { encodeRate } from "./upstreamrates.js";
 
-/** How often demand is told, in milliseconds; a model's load takes a second and more. */
+/** Interval between regular reports, in milliseconds. */
 const reportMs = 500;
-/** A request that nobody can serve is told after this long, with others of its moment. */
-const urgentMs = 5;
-/**
- * Reports are at least this far apart, in milliseconds: a load takes longer, and while many
- * requests lack a holder each of an entry's reports would take the leader 0.4 ms.
- */
-const reportPauseMs = 25;
+/** Urgent news is batched for this long before it is reported, in milliseconds. */
+const urgentDelayMs = 5;
+/** Minimum interval between reports, in milliseconds; bounds the leader's load while many requests can't be served. */
+const minReportIntervalMs = 25;
 const reportTimeoutMs = 800;
-/** Wrong beliefs about engines that are told at once. */
+/** Maximum number of mismatches in one report. */
 const maxMismatches = 20;
 
-/** Counts what client accounts ask for; what the leader allows goes back to it. */
+/** Counts the usage of client accounts and applies the leader's allowances. */
 export interface AccountMeter {
     counts(): AccountCounts[];
     take(counts: readonly AccountCounts[], allowances: readonly Allowance[]): void;
 }
 
-/** The leader that an entry follows. */
+/** The leader that an entry currently follows. */
 export interface FollowedLeader {
-    /** Empty where it follows none. */
+    /** Empty if there is none. */
     readonly url: string;
-    /** Identity of the leadership, empty until it has answered: the same host may lead once more, and knows nothing of before then. */
+    /**
+     * Identifies the leadership; empty until the leader has answered. A host that becomes leader again starts a new
+     * epoch without earlier reports.
+     */
     readonly epoch: string;
 }
 
-interface KnownPace {
+interface Throughput {
     readonly service: string;
     readonly model: string;
-    /** Tokens of a prompt in a second. */
-    readonly rate: number;
-    /** Whether no leader was told. */
-    isNew: boolean;
+    /** Prompt tokens processed per second. */
+    readonly tokensPerSecond: number;
+    /** Whether it has changed since the last report. */
+    isUnreported: boolean;
 }
 
+/** Counts demand since the last report, and sends reports to the leader. */
 export class DemandMeter {
     private readonly items = new Map<string, ItemDemand>();
     private mismatches: Mismatch[] = [];
     private readonly unreachable = new Set<string>();
     private readonly outcomes = new Map<string, { readonly upstream: string; served: number; failed: number; }>();
-    private readonly leavers: ToldLeavers;
+    private readonly leavingUpstreams: ToldLeavers;
     private readonly urgent = new Notifier();
     /** Steady time of the last report. */
     private reportedAt = Number.NEGATIVE_INFINITY;
-    private readonly paces = new Map<string, KnownPace>();
-    /** What was asked for in the past, for a leader that has not heard it. */
-    private readonly past = new PastDemands();
-    /** Leadership that was told last. */
-    private toldTo = "";
+    private readonly throughputs = new Map<string, Throughput>();
+    /** Past demand, reported to each new leader. */
+    private readonly history = new DemandHistory();
+    /** Epoch of the leadership that received the last report. */
+    private reportedEpoch = "";
 
-    /** Tells this process from others of the same name, whose totals are others. */
+    /** Distinguishes this process from earlier ones of the same entry, whose totals were different. */
     private readonly process = Date.now();
     private accounts: AccountMeter | undefined;
-    private pressed: NodeJS.Timeout | undefined;
+    private pendingWake: NodeJS.Timeout | undefined;
 
-    /** `availability`: what upstreams have said of themselves; leaders are told which leave, and of rates. */
+    /** @param availability source of departing upstreams and upstream rates, which are reported to the leader */
     public constructor(private readonly log: EventLog, private readonly availability = new AvailabilityBook()) {
-        this.leavers = new ToldLeavers(availability);
+        this.leavingUpstreams = new ToldLeavers(availability);
     }
 
-    /** Reports tell of accounts too. */
+    /** Includes the usage of client accounts in reports. */
     public tellOf(accounts: AccountMeter): void {
         this.accounts = accounts;
     }
 
     /**
-     * What accounts have used, or is wanted of limited upstreams, is to be told soon. `entries`: how many tell; many of them do so less often
-     * each, since a report takes the leader as long as an answer of the feed.
+     * Requests an early report of account usage or of demand on rate-limited upstreams.
+     *
+     * @param entries number of reporting entries; the more there are, the longer the delay, which limits the leader's load
      */
     public press(entries: number): void {
         const dueMs = Math.max(0, this.reportedAt + ordinaryPaceMs(entries) - steadyNow());
-        this.pressed ??= setTimeout(() => this.urgent.notify(), dueMs);
+        this.pendingWake ??= setTimeout(() => this.urgent.notify(), dueMs);
     }
 
-    /** `work`: what the request needs of an engine, in tokens of a prompt. */
+    /** @param work cost of the request, in prompt tokens */
     public arrived(key: ItemKey, work: number): void {
-        const item = this.item(key);
+        const item = this.itemFor(key);
         item.arrived += 1;
         item.work += BigInt(Math.round(work));
-        this.past.remember(key, work);
+        this.history.record(key, work);
     }
 
     public started(key: ItemKey): void {
-        this.item(key).running += 1;
+        this.itemFor(key).running += 1;
     }
 
     public ended(key: ItemKey): void {
-        this.item(key).running -= 1;
+        this.itemFor(key).running -= 1;
     }
 
-    /** A request waits since nobody holds what it asks for. */
+    /** A request started waiting because no upstream holds its model or adapter. */
     public waits(key: ItemKey): void {
-        this.item(key).waiting += 1;
+        this.itemFor(key).waiting += 1;
         this.urgent.notify();
     }
 
     public waitsNoMore(key: ItemKey): void {
-        this.item(key).waiting -= 1;
+        this.itemFor(key).waiting -= 1;
     }
 
-    /** A request was refused since nobody holds what it asks for; it may come again. */
+    /** A request was rejected because no upstream holds its model or adapter; the client may retry it. */
     public refused(key: ItemKey): void {
-        this.item(key).refused += 1;
+        this.itemFor(key).refused += 1;
         this.urgent.notify();
     }
 
-    /** An upstream said that it does not hold what it was thought to hold. */
+    /** An upstream reported that it does not hold a model or adapter that it is listed with. */
     public mismatch(mismatch: Mismatch): void {
         if (this.mismatches.length < maxMismatches) {
             this.mismatches.push(mismatch);
@@ -132,18 +134,18 @@
         }
     }
 
-    /** An upstream refused a connection, or did not take one in time. */
+    /** A connection to an upstream was refused or timed out. */
     public missed(upstream: string): void {
         this.unreachable.add(upstream);
         this.urgent.notify();
     }
 
-    /** An upstream has told this process that it leaves: others are to hear of it soon. */
+    /** An upstream announced its departure to this process; it is reported soon. */
     public leaving(): void {
         this.urgent.notify();
     }
 
-    /** A request ended at an upstream; failures are told at once. */
+    /** A request ended at an upstream; failures are reported soon. */
     public outcome(upstream: string, failed: boolean): void {
         let counts = this.outcomes.get(upstream);
         if (counts === undefined) {
@@ -159,12 +161,12 @@
         }
     }
 
-    /** Engines of a service read this many tokens of a prompt in a second for a model. */
+    /** Records how many prompt tokens per second a service's engines process for a model. */
     public paceOf(service: string, model: string, tokensPerSecond: number): void {
-        this.paces.set(modelName(service, model), { service, model, rate: tokensPerSecond, isNew: true });
+        this.throughputs.set(modelName(service, model), { service, model, tokensPerSecond, isUnreported: true });
     }
 
-    /** Tells the leader until the signal is aborted. */
+    /** Reports to the leader until the signal is aborted. */
     public async run(
         entry: string,
         clients: PeerClients,
@@ -173,9 +175,9 @@
     ): Promise<void> {
         while (!signal.aborted) {
             await this.urgent.wait(reportMs);
-            await sleep(Math.max(urgentMs, this.reportedAt + reportPauseMs - steadyNow()), signal);
+            await sleep(Math.max(urgentDelayMs, this.reportedAt + minReportIntervalMs - steadyNow()), signal);
             const { url, epoch } = leader();
-            if (url === "" || epoch === "" || signal.aborted || !this.hasNews(epoch)) {
+            if (url === "" || epoch === "" || signal.aborted || !this.hasUnreported(epoch)) {
                 continue;
             }
             await this.report(entry, clients, url, epoch);
@@ -183,27 +185,27 @@
     }
 
     private async report(entry: string, clients: PeerClients, url: string, epoch: string): Promise<void> {
-        // Copies, since the counts start anew while these are on their way.
-        const isFirst = epoch !== this.toldTo;
-        const items = isFirst
-            ? this.itemsWithPast()
+        // Copied, since the counts are reset before the report has been delivered.
+        const isFirstReport = epoch !== this.reportedEpoch;
+        const items = isFirstReport
+            ? this.itemsWithHistory()
             : [...this.items.values()].map(item => clone(ItemDemandSchema, item));
         const { mismatches } = this;
         const unreachable = [...this.unreachable];
         const outcomes = [...this.outcomes.values()];
-        const leaving = this.leavers.toTell(epoch);
+        const leaving = this.leavingUpstreams.toTell(epoch);
         const rates = this.availability.rates.reports(epoch);
-        this.settle();
+        this.resetCounts();
         const askedAt = steadyNow();
         this.reportedAt = askedAt;
-        clearTimeout(this.pressed);
-        this.pressed = undefined;
+        clearTimeout(this.pendingWake);
+        this.pendingWake = undefined;
         const counts = this.accounts?.counts() ?? [];
         try {
-            const paces = [...this.paces.values()]
-                .filter(({ isNew }) => isNew || isFirst)
-                .map(({ service, model, rate }) => ({ service, model, tokensPerSecond: rate }));
-            this.paces.forEach(pace => pace.isNew = false);
+            const paces = [...this.throughputs.values()]
+                .filter(({ isUnreported }) => isUnreported || isFirstReport)
+                .map(({ service, model, tokensPerSecond }) => ({ service, model, tokensPerSecond }));
+            this.throughputs.forEach(throughput => throughput.isUnreported = false);
             const req = {
                 entry,
                 intervalMs: reportMs,
@@ -218,38 +220,38 @@
                 process: BigInt(this.process),
             };
             const res = await clients.client(FleetService, url).reportDemand(req, { timeoutMs: reportTimeoutMs });
-            this.toldTo = epoch;
-            this.leavers.told(leaving, epoch);
+            this.reportedEpoch = epoch;
+            this.leavingUpstreams.told(leaving, epoch);
             this.accounts?.take(counts, res.allowances.map(decodeAllowance));
             this.availability.rates.answered(rates, res.permits, { epoch, askedAt });
         }
         catch (err) {
-            // The next report tells what runs and waits; arrivals of one interval are not missed much.
+            // The next report carries the current gauges; losing one interval's arrivals is tolerable.
             this.log.warn("demand.untold", { leader: url, error: messageOf(err) });
         }
     }
 
-    /** What this report would tell, with what earlier ones told another leader. */
-    private itemsWithPast(): ItemDemand[] {
-        this.past.keys().forEach(key => this.item(key));
+    /** The current counts together with the decayed demand that was reported to earlier leaders. */
+    private itemsWithHistory(): ItemDemand[] {
+        this.history.keys().forEach(key => this.itemFor(key));
         return [...this.items].map(([name, item]) => {
             const copy = clone(ItemDemandSchema, item);
-            const { requests, work } = this.past.faded(name);
-            // What came in since the last report is told as it is.
+            const { requests, work } = this.history.decayed(name);
+            // The history includes arrivals since the last report, which are counted separately.
             copy.earlier = Math.max(0, requests - item.arrived);
             copy.earlierWork = Math.max(0, work - Number(item.work));
             return copy;
         });
     }
 
-    private hasNews(epoch: string): boolean {
+    private hasUnreported(epoch: string): boolean {
         return this.availability.rates.hasNews(epoch) || this.items.size > 0 || this.mismatches.length > 0
             || this.unreachable.size > 0
-            || this.outcomes.size > 0 || this.leavers.hasNews || (this.accounts?.counts().length ?? 0) > 0;
+            || this.outcomes.size > 0 || this.leavingUpstreams.hasNews || (this.accounts?.counts().length ?? 0) > 0;
     }
 
-    private settle(): void {
-        this.past.forgetOld();
+    private resetCounts(): void {
+        this.history.removeExpired();
         this.mismatches = [];
         this.unreachable.clear();
         this.outcomes.clear();
@@ -263,7 +265,7 @@
         }
     }
 
-    private item(key: ItemKey): ItemDemand {
+    private itemFor(key: ItemKey): ItemDemand {
         const name = itemName(key);
         let item = this.items.get(name);
         if (item === undefined) {
@@ -278,14 +280,14 @@
     return {
         held,
         account,
-        used: whole(used),
-        asked: whole(asked),
-        credit: whole(credit),
-        waiting: whole(waiting),
+        used: toRoundedBigInt(used),
+        asked: toRoundedBigInt(asked),
+        credit: toRoundedBigInt(credit),
+        waiting: toRoundedBigInt(waiting),
     };
 }
 
-function whole(units: number): bigint {
+function toRoundedBigInt(units: number): bigint {
     return BigInt(Math.round(units));
 }
 
--- a/packages/fleet/src/orderleases.ts
+++ b/packages/fleet/src/orderleases.ts
@@ -1,49 +1,48 @@
 /**
- * Who may give orders to engines after a change of leader. Engines refuse lower
- * tokens, so late orders of an earlier holder do no harm; the lease keeps two
- * holders that are both alive from giving orders by turns.
+ * Hands over the right to send orders to engines when the leader changes. Fencing tokens protect engines that check them
+ * from late orders of an earlier leader; the lease also keeps two live leaders from sending orders alternately.
  */
 import { type EventLog, messageOf, Notifier, sleep, steadyNow } from "@winchpath/core";
 import { type RpcClients } from "@winchpath/rpc";
 import { FleetService, type YieldResponse } from "./gen/winchpath/fleet/v1/fleet_pb.js";
 
-/** An earlier holder that has not answered by then is cut off or being stopped, and gives no orders without a majority. */
+/** A host that does not answer in time is treated as disconnected or stopping, in milliseconds. */
 const yieldTimeoutMs = 300;
-/** Beyond the lease, for the last order of the earlier holder that is still on its way, in milliseconds. */
-const marginMs = 200;
+/** Added to the lease for the previous holder's last order that may still be in flight, in milliseconds. */
+const inFlightMarginMs = 200;
 
-/** What this process has given, and what it may give. */
+/** Records when this process last sent an order, and the token under which it may send more. */
 export class OrderLease {
-    /** Notified when another leader has asked. */
-    public readonly yielded = new Notifier();
-    private gaveAt: number | undefined;
-    /** What this host's earlier process gave isn't known; it gave nothing later. */
-    private readonly begunAt = steadyNow();
+    /** Notified when another leader asks this host to stop sending orders. */
+    public readonly yieldRequested = new Notifier();
+    private lastOrderAt: number | undefined;
+    /** Latest time at which an earlier process of this host can have sent an order. */
+    private readonly startedAt = steadyNow();
     private highestToken = 0;
-    private openToken: number | undefined;
+    private grantedToken: number | undefined;
 
     public constructor(private readonly leaseMs: () => number, private readonly log: EventLog) {}
 
-    /** Whether orders may be given under a token now. */
+    /** Whether orders may be sent under a token. */
     public isOpen(token: number): boolean {
-        return this.openToken === token && token >= this.highestToken;
+        return this.grantedToken === token && token >= this.highestToken;
     }
 
-    /** An order is sent. */
+    /** Records that an order is being sent. */
     public gave(): void {
-        this.gaveAt = steadyNow();
+        this.lastOrderAt = steadyNow();
     }
 
-    /** Another leader asks: nothing more is given under lower tokens. */
+    /** Stops orders under lower tokens on behalf of another leader; returns when this process last sent one. */
     public yieldTo(token: number): { readonly gave: boolean; readonly ageMs: number; } {
         this.highestToken = Math.max(this.highestToken, token);
-        this.yielded.notify();
-        return this.gaveAt === undefined
+        this.yieldRequested.notify();
+        return this.lastOrderAt === undefined
             ? { gave: false, ageMs: 0 }
-            : { gave: true, ageMs: steadyNow() - this.gaveAt };
+            : { gave: true, ageMs: steadyNow() - this.lastOrderAt };
     }
 
-    /** Asks all other control hosts to give nothing more, and opens once the lease of each that gave orders is over. */
+    /** Asks all other control hosts to stop sending orders, and waits until each one's lease has expired. */
     public async acquire(
         token: number,
         urls: readonly string[],
@@ -51,8 +50,8 @@
         signal: AbortSignal,
     ): Promise<void> {
         const startedAt = steadyNow();
-        const answers = await Promise.all(urls.map(url => this.ask(token, url, clients)));
-        const waitMs = Math.max(0, ...answers.map(answer => this.remainingMs(answer)));
+        const answers = await Promise.all(urls.map(url => this.requestYield(token, url, clients)));
+        const waitMs = Math.max(0, ...answers.map(answer => this.remainingLeaseMs(answer)));
         this.log.info("orders.lease", {
             token,
             waitMs: Math.round(waitMs),
@@ -62,23 +61,24 @@
         });
         await sleep(waitMs, signal);
         if (!signal.aborted) {
-            this.openToken = token;
+            this.grantedToken = token;
         }
     }
 
     /**
-     * What is left of a lease. Another host that doesn't answer gives no more orders, but may have given some in between: then
-     * this one waits out its own lease, so that orders never go from it to another and back within one.
+     * Remaining time of another host's lease. A host that does not answer can't reach a majority and sends no more orders,
+     * but may have sent some since this host's last order. Waiting out this host's own lease then keeps orders from
+     * alternating between hosts within one lease.
      */
-    private remainingMs(answer: YieldResponse | undefined): number {
-        const wholeMs = this.leaseMs() + marginMs;
+    private remainingLeaseMs(answer: YieldResponse | undefined): number {
+        const fullLeaseMs = this.leaseMs() + inFlightMarginMs;
         if (answer === undefined) {
-            return wholeMs - (steadyNow() - (this.gaveAt ?? this.begunAt));
+            return fullLeaseMs - (steadyNow() - (this.lastOrderAt ?? this.startedAt));
         }
-        return answer.gave ? wholeMs - answer.lastOrderAgeMs : 0;
+        return answer.gave ? fullLeaseMs - answer.lastOrderAgeMs : 0;
     }
 
-    private async ask(token: number, url: string, clients: RpcClients): Promise<YieldResponse | undefined> {
+    private async requestYield(token: number, url: string, clients: RpcClients): Promise<YieldResponse | undefined> {
         try {
             const req = { token: BigInt(token) };
             return await clients.client(FleetService, url).yieldOrders(req, { timeoutMs: yieldTimeoutMs });
--- a/packages/fleet/src/orderlines.ts
+++ b/packages/fleet/src/orderlines.ts
@@ -1,4 +1,4 @@
-/** The task that gives orders to one engine, one after the other, and knows what became of them. */
+/** Sends load and unload orders to one engine, one at a time, and tracks each until it has taken effect. */
 import { clone } from "@bufbuild/protobuf";
 import { type EventLog, sleep, steadyNow } from "@winchpath/core";
 import { type HeldModel, HeldModelSchema, type Upstream } from "./gen/winchpath/fleet/v1/fleet_pb.js";
@@ -6,58 +6,61 @@
 import { describeOrder, type EngineCalls, type EngineOrder, type Fence, OrderReply } from "./orders.js";
 import { heldModel, type Registry } from "./registries.js";
 
-/** Pause before an order without an answer is sent again, in milliseconds. */
-const resendMs = 300;
-/** A report tells of some hundred milliseconds before; after a conflict it is read this much later. */
-const reportLagMs = 400;
-/** Tries before the engine is read anew, or left alone for now. */
-const maxTries = 8;
-/** Adapters are looked after at these times, in milliseconds; one that is fetched anew takes tens to hundreds. */
-const adapterChecksMs = [15, 30, 60, 100, 150, 200, 300, 400, 600];
-/** How often is looked whether an engine is done with a model, before its adapters are looked after. */
-const busyCheckMs = 50;
-/** Models are looked after this long after the time that they should take; each further look takes longer, up to a bound. */
-const firstModelCheckMs = 25;
-const lastModelCheckMs = 200;
-const modelCheckGrowth = 1.5;
-/** A load that takes this many times as long as it should has failed, or the store is overloaded. */
-const modelPatience = 5;
-/** Adapters whose unload waits for their runs are looked after this long after it; each further look takes longer, up to a bound. */
-const firstDepartureCheckMs = 60;
-const lastDepartureCheckMs = 500;
-const departureCheckGrowth = 1.5;
-/** Adapters that may be under way to one engine at the same time. */
-const maxTransits = 4;
-
-/** What a line asks of the one who owns it. */
+/** Delay before an unanswered order is sent again, in milliseconds. */
+const retryDelayMs = 300;
+/** A report describes a state up to this old; it is only read this long after the last reply, in milliseconds. */
+const maxReportAgeMs = 400;
+/** Attempts to send an order before the engine's state is read again. */
+const maxAttempts = 8;
+/** Delays between checks whether an adapter has been loaded, in milliseconds. */
+const adapterPollDelaysMs = [15, 30, 60, 100, 150, 200, 300, 400, 600];
+/** Interval for checking whether a model order has finished before an adapter is polled, in milliseconds. */
+const busyPollMs = 50;
+/** Once the expected duration of a model order has passed, it is polled with exponential backoff, in milliseconds. */
+const minModelPollMs = 25;
+const maxModelPollMs = 200;
+const modelPollGrowth = 1.5;
+/** A model order is given up after this multiple of its expected duration. */
+const modelTimeoutFactor = 5;
+/** An adapter unload that waits for running requests is polled with exponential backoff, in milliseconds. */
+const minUnloadPollMs = 60;
+const maxUnloadPollMs = 500;
+const unloadPollGrowth = 1.5;
+/** Adapters that one engine may be loading at the same time. */
+const maxConcurrentAdapterLoads = 4;
+
+/** Callbacks of an order dispatcher. */
 export interface OrderLineOwner {
-    /** Undefined once orders may not be given any more. */
+    /** The fence for the next order; undefined once this host may no longer send orders. */
     fence(): Fence | undefined;
-    /** An order is sent. */
+    /** Called before each order is sent. */
     gave(): void;
-    /** The engine refuses connections. */
+    /** Called when the engine refuses connections. */
     unreachable(upstream: string): void;
-    /** Another leader gives orders. */
+    /** Called when the engine has seen a higher fencing token. */
     fenced(upstream: string): void;
-    /** What an engine holds has changed, or it takes orders again. */
+    /** Called when the engine's models or adapters change, or when it can take another order. */
     settled(): void;
 }
 
+/** Sends orders to one engine. Model orders run one at a time; adapter orders may overlap. */
 export class OrderLine {
-    /** Models, with those that are being loaded; undefined until the engine was read. */
+    /** Models being loaded. */
     private readonly loading = new Set<string>();
+    /** Adapters being loaded, as "model/adapter". */
     private readonly transits = new Set<string>();
-    /** Adapters whose unload waits for the requests that run on them. */
+    /** Adapters whose unload waits for running requests, as "model/adapter". */
     private readonly departures = new Set<string>();
-    /** Adapters that were seen to arrive by an order of this line, and were not given up since. */
+    /** Adapters that this dispatcher has loaded and not unloaded since. */
     private readonly loaded = new Set<string>();
-    /** Number of orders that the engine has accepted, or fewer; undefined until it was read. */
+    /** Lower bound of the number of orders that the engine has accepted; undefined while its state has to be read. */
     private expected: number | undefined;
+    /** Whether an order is being executed or a report read. */
     private occupied = false;
-    private seen = false;
-    /** Steady time of the last answer to an order. */
-    private lastOrderAt = Number.NEGATIVE_INFINITY;
-    private ended = false;
+    private hasReadReport = false;
+    /** Steady time of the last reply to an order. */
+    private lastReplyAt = Number.NEGATIVE_INFINITY;
+    private stopped = false;
 
     public constructor(
         private readonly id: string,
@@ -67,40 +70,40 @@
         private readonly log: EventLog,
     ) {}
 
-    /** Whether the next order can be given. */
+    /** Whether the next order can be sent. */
     public get free(): boolean {
-        return !this.occupied && !this.ended && this.expected !== undefined;
+        return !this.occupied && !this.stopped && this.expected !== undefined;
     }
 
-    /** Whether the engine was seen to carry out no order, since this line began. */
+    /** Whether the engine has ever reported to this dispatcher that no model order was in progress. */
     public get seenIdle(): boolean {
-        return this.seen;
+        return this.hasReadReport;
     }
 
     public get loadingModels(): readonly string[] {
         return [...this.loading];
     }
 
-    /** Adapters under way, "model/adapter". */
+    /** Adapters being loaded, as "model/adapter". */
     public get adaptersUnderWay(): ReadonlySet<string> {
         return this.transits;
     }
 
-    /** Adapters on their way out, "model/adapter": they take their places until their last request has ended. */
+    /** Adapters being unloaded, as "model/adapter". They occupy their slots until their last request ends. */
     public get adaptersLeaving(): ReadonlySet<string> {
         return this.departures;
     }
 
     public get freeTransits(): number {
-        return this.free ? maxTransits - this.transits.size : 0;
+        return this.free ? maxConcurrentAdapterLoads - this.transits.size : 0;
     }
 
-    /** Gives no more orders. */
+    /** Stops sending orders. */
     public end(): void {
-        this.ended = true;
+        this.stopped = true;
     }
 
-    /** Reads what the engine holds and how many orders it has accepted. */
+    /** Reads the models and adapters that the engine holds, and how many orders it has accepted. */
     public async sync(): Promise<void> {
         const upstream = this.upstream;
         if (upstream === undefined || this.occupied) {
@@ -108,7 +111,7 @@
         }
         this.occupied = true;
         try {
-            await this.read(upstream);
+            await this.readReport(upstream);
         }
         finally {
             this.occupied = false;
@@ -116,15 +119,15 @@
         }
     }
 
-    /** Carries an order out; returns once the engine can take another. */
+    /** Executes an order; resolves once the engine can take another. */
     public async give(order: EngineOrder, expectedMs: number): Promise<void> {
         this.occupied = true;
         if (order.kind === "load" && order.adapter === "") {
-            // Counted before it is accepted, so that it is not ordered elsewhere meanwhile.
+            // Listed before it is accepted, so that the planner does not load it on another engine as well.
             this.loading.add(order.model);
         }
         try {
-            await this.carryOut(order, expectedMs);
+            await this.sendUntilAnswered(order, expectedMs);
         }
         finally {
             this.loading.delete(order.model);
@@ -134,25 +137,25 @@
     }
 
     private get upstream(): Upstream | undefined {
-        return this.ended ? undefined : this.registry.get(this.id)?.upstream;
+        return this.stopped ? undefined : this.registry.get(this.id)?.upstream;
     }
 
-    private async carryOut(order: EngineOrder, expectedMs: number): Promise<void> {
+    private async sendUntilAnswered(order: EngineOrder, expectedMs: number): Promise<void> {
         if (order.kind === "unload" && order.adapter === "") {
             this.markLeaving(order.model);
         }
-        for (let tries = 0; tries < maxTries; tries++) {
+        for (let attempt = 0; attempt < maxAttempts; attempt++) {
             switch (await this.send(order)) {
                 case OrderReply.accepted:
-                    this.count(order);
-                    await this.follow(order, expectedMs);
+                    this.updateExpected(order);
+                    await this.trackCompletion(order, expectedMs);
                     return;
                 case OrderReply.holds:
                     if (isAdapterUnload(order)) {
-                        // An adapter that nothing runs on goes at once, and that counts as an order.
-                        this.count(order);
+                        // An unused adapter is unloaded at once, and the engine counts that as an order.
+                        this.updateExpected(order);
                     }
-                    this.tookEffect(order);
+                    this.recordCompletion(order);
                     return;
                 case OrderReply.fenced:
                 case OrderReply.refused:
@@ -160,14 +163,14 @@
                     this.expected = undefined;
                     return;
                 case OrderReply.conflict:
-                    // It was judged by what the engine held before, which has accepted other orders since: they may
-                    // have taken the room of a load, or what is to be unloaded. It is planned anew.
+                    // The engine has accepted other orders since this one was planned, so it may no longer fit.
+                    // Resending it with the new count could overload the engine: leave it to the next plan.
                     this.log.info("order.outdated", { upstream: this.id, order: describeOrder(order) });
-                    await this.reread();
+                    await this.invalidateAndRead();
                     return;
                 case OrderReply.unknown:
-                    // Sent again under the same number: whichever copy is taken first makes the other fail.
-                    await sleep(resendMs);
+                    // Sent again with the same count, so that the engine accepts at most one copy.
+                    await sleep(retryDelayMs);
                     break;
             }
         }
@@ -175,18 +178,18 @@
     }
 
     /**
-     * The engine counts an order that it has accepted. An unload of what goes already, or has gone, isn't counted, and
-     * is answered alike: only of an adapter that this line has loaded is known that it was neither. A number that is
-     * behind is refused; one that is ahead would be right later, for a state that nobody has judged.
+     * Adjusts the expected count after an order. The engine does not count the unload of an adapter that is absent or
+     * already being unloaded, but replies alike, so only unloads of adapters that this dispatcher has loaded are sure
+     * to count. The count must never be too high: a late copy could then be accepted in a state it was not planned for.
      */
-    private count(order: EngineOrder): void {
-        const isKnownToCount = !isAdapterUnload(order) || this.loaded.delete(adapterName(order));
-        // An adapter that failed to show may have taken the number back while this order was on its way.
-        this.expected = isKnownToCount && this.expected !== undefined ? this.expected + 1 : undefined;
+    private updateExpected(order: EngineOrder): void {
+        const isCounted = !isAdapterUnload(order) || this.loaded.delete(adapterName(order));
+        // A failed adapter load may have cleared the count while this order was in flight.
+        this.expected = isCounted && this.expected !== undefined ? this.expected + 1 : undefined;
     }
 
-    /** Waits while the engine wants nothing from this host, which may send it callers' requests too. */
-    private async untilRested(): Promise<void> {
+    /** Waits while the engine has asked this host to back off. */
+    private async waitForBackoff(): Promise<void> {
         for (let upstream = this.upstream; upstream !== undefined; upstream = this.upstream) {
             const ms = this.calls.restMs(upstream);
             if (ms <= 0) {
@@ -197,7 +200,7 @@
     }
 
     private async send(order: EngineOrder): Promise<OrderReply> {
-        await this.untilRested();
+        await this.waitForBackoff();
         const { upstream } = this;
         const fence = this.owner.fence();
         if (upstream === undefined || fence === undefined || this.expected === undefined) {
@@ -206,7 +209,7 @@
         const sentAt = steadyNow();
         this.owner.gave();
         const reply = await this.calls.order(upstream, order, this.expected, fence);
-        this.lastOrderAt = steadyNow();
+        this.lastReplyAt = steadyNow();
         this.log.info("order.sent", {
             upstream: this.id,
             order: describeOrder(order),
@@ -227,68 +230,68 @@
         return reply;
     }
 
-    private async follow(order: EngineOrder, expectedMs: number): Promise<void> {
+    private async trackCompletion(order: EngineOrder, expectedMs: number): Promise<void> {
         if (order.adapter === "") {
-            await this.followModel(order, expectedMs);
+            await this.trackModelOrder(order, expectedMs);
         }
         else if (order.kind === "load") {
-            // The engine takes other orders meanwhile.
-            void this.followAdapter(order);
+            // Not awaited: the engine takes other orders meanwhile.
+            void this.trackAdapterLoad(order);
         }
         else {
-            // The engine takes other orders meanwhile, and has a place less than it seems to have.
-            void this.followDeparture(order);
+            // Not awaited: the engine takes other orders meanwhile, but the adapter's slot is still occupied.
+            void this.trackAdapterUnload(order);
         }
     }
 
-    private async followModel(order: EngineOrder, expectedMs: number): Promise<void> {
-        const deadline = steadyNow() + expectedMs * modelPatience + modelPatience * 1000;
+    private async trackModelOrder(order: EngineOrder, expectedMs: number): Promise<void> {
+        const deadline = steadyNow() + expectedMs * modelTimeoutFactor + modelTimeoutFactor * 1000;
         if (order.kind === "load") {
-            // Entries learn when to expect it, and hold or send back requests accordingly.
-            this.change(models => models.push(heldModel(order.model, expectedMs + firstModelCheckMs)));
+            // Tells entries when the model will be ready, so that they can hold or reject requests for it.
+            this.updateModels(models => models.push(heldModel(order.model, expectedMs + minModelPollMs)));
         }
         await sleep(expectedMs);
-        let checkMs = firstModelCheckMs;
+        let pollMs = minModelPollMs;
         while (steadyNow() < deadline && this.upstream !== undefined) {
-            await sleep(checkMs);
-            checkMs = Math.min(lastModelCheckMs, checkMs * modelCheckGrowth);
+            await sleep(pollMs);
+            pollMs = Math.min(maxModelPollMs, pollMs * modelPollGrowth);
             const reply = await this.send(order);
             if (reply === OrderReply.holds) {
-                this.tookEffect(order);
+                this.recordCompletion(order);
                 return;
             }
-            // Accepted once more: it is still under way, and was counted before.
+            // `accepted` means still in progress; the order is not counted twice.
             if (isFinal(reply)) {
                 break;
             }
         }
-        this.change(models => remove(models, order.model, held => held.readyInMs > 0));
+        this.updateModels(models => remove(models, order.model, held => held.readyInMs > 0));
         this.expected = undefined;
     }
 
-    private async followAdapter(order: EngineOrder): Promise<void> {
+    private async trackAdapterLoad(order: EngineOrder): Promise<void> {
         const name = adapterName(order);
         this.transits.add(name);
         this.owner.settled();
-        if (await this.arrives(order)) {
+        if (await this.waitForAdapterLoad(order)) {
             this.loaded.add(name);
-            this.tookEffect(order);
+            this.recordCompletion(order);
         }
         else {
-            // It was accepted, so it may take a place all the same: the engine is read before the next order.
+            // It may occupy a slot nevertheless: read the engine's state before the next order.
             this.expected = undefined;
         }
         this.transits.delete(name);
         this.owner.settled();
     }
 
-    /** Whether an adapter that was accepted is seen to have arrived. */
-    private async arrives(order: EngineOrder): Promise<boolean> {
-        for (const pauseMs of adapterChecksMs) {
-            await sleep(pauseMs);
+    /** Polls an accepted adapter load; returns whether it has completed. */
+    private async waitForAdapterLoad(order: EngineOrder): Promise<boolean> {
+        for (const delayMs of adapterPollDelaysMs) {
+            await sleep(delayMs);
             while (this.occupied && this.upstream !== undefined) {
-                // While a model comes or goes, the engine answers nothing about adapters.
-                await sleep(busyCheckMs);
+                // The engine rejects adapter orders while it loads or unloads a model.
+                await sleep(busyPollMs);
             }
             const reply = await this.send(order);
             if (reply === OrderReply.holds) {
@@ -301,25 +304,25 @@
         return false;
     }
 
-    /** The place of an adapter that is only accepted to be unloaded is free once the engine has nothing to unload any more. */
-    private async followDeparture(order: EngineOrder): Promise<void> {
+    /** Tracks an adapter unload that waits for running requests; its slot is free once the engine replies `done`. */
+    private async trackAdapterUnload(order: EngineOrder): Promise<void> {
         const name = adapterName(order);
         this.log.info("adapter.leaving", { upstream: this.id, adapter: name });
         this.departures.add(name);
-        this.change(models => applyOrder(models, order));
+        this.updateModels(models => applyOrder(models, order));
         this.owner.settled();
-        await this.untilDeparted(order);
+        await this.waitForAdapterUnload(order);
         this.departures.delete(name);
         this.log.info("adapter.left", { upstream: this.id, adapter: name });
         this.owner.settled();
     }
 
-    /** Returns once the adapter is gone, alone or with its model, or this line has ended. */
-    private async untilDeparted(order: EngineOrder): Promise<void> {
-        let checkMs = firstDepartureCheckMs;
+    /** Resolves once the adapter or its model is unloaded, or this dispatcher has stopped. */
+    private async waitForAdapterUnload(order: EngineOrder): Promise<void> {
+        let pollMs = minUnloadPollMs;
         while (this.upstream !== undefined) {
-            await sleep(checkMs);
-            checkMs = Math.min(lastDepartureCheckMs, checkMs * departureCheckGrowth);
+            await sleep(pollMs);
+            pollMs = Math.min(maxUnloadPollMs, pollMs * unloadPollGrowth);
             if (!this.holdsModel(order.model)) {
                 return;
             }
@@ -332,7 +335,7 @@
     private async isUnloaded(order: EngineOrder): Promise<boolean> {
         const reply = await this.send(order);
         if (reply === OrderReply.conflict && !this.occupied) {
-            // Others have given it orders: it is read before the next one.
+            // The engine has accepted orders from another sender: read its state before the next order.
             this.expected = undefined;
         }
         return reply === OrderReply.holds;
@@ -343,16 +346,16 @@
     }
 
     private markLeaving(model: string): void {
-        this.change(models => models.filter(held => held.name === model).forEach(held => held.leaving = true));
+        this.updateModels(models => models.filter(held => held.name === model).forEach(held => held.leaving = true));
     }
 
-    private tookEffect(order: EngineOrder): void {
+    private recordCompletion(order: EngineOrder): void {
         this.log.info("order.done", { upstream: this.id, order: describeOrder(order) });
-        this.change(models => applyOrder(models, order));
+        this.updateModels(models => applyOrder(models, order));
         this.owner.settled();
     }
 
-    private change(edit: (models: HeldModel[]) => void): void {
+    private updateModels(edit: (models: HeldModel[]) => void): void {
         const { upstream } = this;
         if (upstream !== undefined) {
             const models = upstream.models.map(model => clone(HeldModelSchema, model));
@@ -361,32 +364,32 @@
         }
     }
 
-    private async reread(): Promise<void> {
+    private async invalidateAndRead(): Promise<void> {
         const { upstream } = this;
         this.expected = undefined;
         if (upstream !== undefined) {
-            await this.read(upstream);
+            await this.readReport(upstream);
         }
     }
 
-    /** Takes in what the engine holds, unless a model comes or goes there. */
-    private async read(upstream: Upstream): Promise<void> {
-        // A report from before the last order took effect would tell of room that is taken.
-        await sleep(Math.max(0, this.lastOrderAt + reportLagMs - steadyNow()));
-        await this.untilRested();
+    /** Applies a report of the engine, unless it is loading or unloading a model. */
+    private async readReport(upstream: Upstream): Promise<void> {
+        // A report from before the last order took effect would overstate the free capacity.
+        await sleep(Math.max(0, this.lastReplyAt + maxReportAgeMs - steadyNow()));
+        await this.waitForBackoff();
         const report = await this.calls.report(upstream);
         if (report === undefined) {
             return;
         }
         if (report.busy) {
-            // What is on its way there is not told, so there may be less room than it seems.
+            // The report omits what is being loaded, so it would overstate the free capacity.
             this.log.info("engine.busy", { upstream: this.id, orders: report.orders });
             return;
         }
-        this.seen = true;
+        this.hasReadReport = true;
         this.expected = report.orders;
         this.loaded.clear();
-        this.registry.setModels(this.id, report.models.map(model => this.withoutDepartures(model)));
+        this.registry.setModels(this.id, report.models.map(model => this.withoutUnloadingAdapters(model)));
         this.log.info("engine.read", {
             upstream: this.id,
             orders: report.orders,
@@ -395,15 +398,15 @@
         });
     }
 
-    /** A report lists an adapter until its last request has ended; it takes no others. */
-    private withoutDepartures(model: HeldModel): HeldModel {
+    /** Removes adapters that are being unloaded: reports list them until their last request ends. */
+    private withoutUnloadingAdapters(model: HeldModel): HeldModel {
         const copy = clone(HeldModelSchema, model);
         copy.adapters = copy.adapters.filter(adapter => !this.departures.has(`${model.name}/${adapter}`));
         return copy;
     }
 }
 
-/** Whether asking again is of no use. */
+/** Whether a retry can't succeed. */
 function isFinal(reply: OrderReply): boolean {
     return reply === OrderReply.fenced || reply === OrderReply.refused || reply === OrderReply.unreachable;
 }
--- a/packages/fleet/src/orders.ts
+++ b/packages/fleet/src/orders.ts
@@ -1,53 +1,53 @@
-/** Orders to engines: what is asked, what an engine may answer, and how it is reached. */
+/** Orders to engines, the replies to them, and the client interface that sends them. */
 import { type HeldModel, type Upstream } from "./gen/winchpath/fleet/v1/fleet_pb.js";
 
-/** Loads or unloads a model, or one of its adapters where `adapter` is not empty. */
+/** Loads or unloads a model, or one of its adapters if `adapter` is not empty. */
 export interface EngineOrder {
     readonly kind: "load" | "unload";
     readonly model: string;
     readonly adapter: string;
 }
 
-/** Who gives an order: an engine refuses one with a lower token than it has seen. */
+/** Fencing token of an order's sender. An engine rejects tokens lower than the highest it has seen. */
 export interface Fence {
     readonly holder: string;
     readonly token: number;
 }
 
-/** What came of sending an order. */
+/** Result of sending an order. */
 export const OrderReply = {
-    /** It is being carried out. */
+    /** The order is in progress. */
     accepted: "accepted",
-    /** What it asks for is so already. */
+    /** The requested state is already reached. */
     holds: "holds",
-    /** Another order is under way, or the engine has accepted others than it was told. */
+    /** Another order is in progress, or the engine has not accepted the expected number of orders. */
     conflict: "conflict",
-    /** Somebody with a higher token gives orders now. */
+    /** The engine has seen a higher fencing token. */
     fenced: "fenced",
-    /** It can't be carried out at all, or the engine is another one by now. */
+    /** The order can't be executed, or the engine has been replaced by another. */
     refused: "refused",
-    /** The engine refuses connections: it was not sent. */
+    /** The engine refused the connection, so the order was not sent. */
     unreachable: "unreachable",
-    /** No answer: it may have been accepted, and may still be carried out. */
+    /** No answer: the order may have been accepted, or may still be. */
     unknown: "unknown",
 } as const;
 export type OrderReply = typeof OrderReply[keyof typeof OrderReply];
 
-/** How an engine stands, as of some hundred milliseconds before. */
+/** State of an engine, up to some hundred milliseconds old. */
 export interface EngineReport {
-    /** Number of orders that it has accepted since its start. */
+    /** Number of orders that the engine has accepted since its start. */
     readonly orders: number;
     readonly models: readonly HeldModel[];
     /** Whether a model is being loaded or unloaded. */
     readonly busy: boolean;
 }
 
-/** Calls to engines. Neither fails: what went wrong is in the answer. */
+/** Client for engines. Its methods don't reject: failures are part of the result. */
 export interface EngineCalls {
     order(upstream: Upstream, order: EngineOrder, expected: number, fence: Fence): Promise<OrderReply>;
-    /** Undefined where no report could be had. */
+    /** Returns undefined if no report could be fetched. */
     report(upstream: Upstream): Promise<EngineReport | undefined>;
-    /** For how long an engine wants nothing from this host, in milliseconds; 0 where it takes orders. */
+    /** How long the engine has asked this host to back off, in milliseconds; 0 if it takes orders. */
     restMs(upstream: Upstream): number;
 }
 
--- a/packages/fleet/src/pastdemands.ts
+++ b/packages/fleet/src/pastdemands.ts
@@ -1,48 +1,48 @@
-/** What an entry's callers have asked for, for a leader that has not heard it. */
+/** Demand history of an entry, for reports to a new leader. */
 import { steadyNow } from "@winchpath/core";
 import { halfLifeMs } from "./demands.js";
 import { type ItemKey, itemName } from "./items.js";
 
-/** What was not asked for in this time is told to no new leader, in milliseconds: a thousandth of it would be left. */
-const forgetMs = 10 * halfLifeMs;
+/** Items without requests for ten half-lives are removed: less than a thousandth of their demand remains. */
+const retentionMs = 10 * halfLifeMs;
 
-/** Requests for one item, each counted less the longer ago it came, as the leader counts them. */
-interface PastDemand {
+/** Exponentially decaying request count of one item, with the leader's half-life. */
+interface DecayedDemand {
     readonly key: ItemKey;
     requests: number;
     work: number;
-    /** Steady time as of which they are counted. */
-    at: number;
+    /** Steady time of the last update. */
+    updatedAt: number;
 }
 
-export class PastDemands {
-    private readonly demands = new Map<string, PastDemand>();
+export class DemandHistory {
+    private readonly byItem = new Map<string, DecayedDemand>();
 
-    public remember(key: ItemKey, work: number): void {
+    public record(key: ItemKey, work: number): void {
         const name = itemName(key);
-        const before = this.faded(name);
-        this.demands.set(name, { key, requests: before.requests + 1, work: before.work + work, at: steadyNow() });
+        const before = this.decayed(name);
+        this.byItem.set(name, { key, requests: before.requests + 1, work: before.work + work, updatedAt: steadyNow() });
     }
 
-    /** Requests for an item, and the work that they needed, as they count now. */
-    public faded(name: string): { readonly requests: number; readonly work: number; } {
-        const past = this.demands.get(name);
+    /** Requests for an item and their work, decayed to the current time. */
+    public decayed(name: string): { readonly requests: number; readonly work: number; } {
+        const past = this.byItem.get(name);
         if (past === undefined) {
             return { requests: 0, work: 0 };
         }
-        const share = 2 ** (-(steadyNow() - past.at) / halfLifeMs);
-        return { requests: past.requests * share, work: past.work * share };
+        const decay = 2 ** (-(steadyNow() - past.updatedAt) / halfLifeMs);
+        return { requests: past.requests * decay, work: past.work * decay };
     }
 
     public keys(): ItemKey[] {
-        return [...this.demands.values()].map(({ key }) => key);
+        return [...this.byItem.values()].map(({ key }) => key);
     }
 
-    public forgetOld(): void {
-        const limit = steadyNow() - forgetMs;
-        for (const [name, { at }] of this.demands) {
-            if (at < limit) {
-                this.demands.delete(name);
+    public removeExpired(): void {
+        const limit = steadyNow() - retentionMs;
+        for (const [name, { updatedAt }] of this.byItem) {
+            if (updatedAt < limit) {
+                this.byItem.delete(name);
             }
         }
     }
--- a/packages/fleet/src/tests/demands.test.ts
+++ b/packages/fleet/src/tests/demands.test.ts
@@ -8,14 +8,14 @@
     return create(DemandRequestSchema, { entry, intervalMs: 500, items });
 }
 
-function pausedBook(t: TestContext): DemandBook {
+function startBook(t: TestContext): DemandBook {
     t.mock.timers.enable({ apis: ["Date"], now: 1_000_000 });
     return new DemandBook(silentLog);
 }
 
 describe("DemandBook", () => {
     it("follows demand within a few seconds", t => {
-        const book = pausedBook(t);
+        const book = startBook(t);
         for (let halfSecond = 0; halfSecond < 20; halfSecond++) {
             t.mock.timers.tick(500);
             book.take(report([{ service: "s", model: "m", arrived: 5, work: 5000n }]));
@@ -25,22 +25,22 @@
         expect(Math.round(need.work / need.rate)).toEqual(1000);
     });
 
-    it("takes silence for the end of demand sooner than the average does", t => {
-        const book = pausedBook(t);
+    it("lowers the rate after silence sooner than the average decays", t => {
+        const book = startBook(t);
         book.take(report([{ service: "s", model: "m", arrived: 20, work: 20_000n }]));
         t.mock.timers.tick(2500);
         expect(book.needs()[0].rate).toBeLessThanOrEqual(0.5);
         expect(book.needs()[0].work).toBeLessThanOrEqual(500);
     });
 
-    it("does not take one request for a model that becomes busy", t => {
-        const book = pausedBook(t);
+    it("does not treat a single request as rising demand", t => {
+        const book = startBook(t);
         t.mock.timers.tick(10_000);
         book.take(report([{ service: "s", model: "m", arrived: 1, work: 1000n }]));
         expect(book.needs()[0].rate).toBeLessThan(0.3);
     });
 
-    it("tells the pace of each model by itself", () => {
+    it("keeps the throughput of each model separately", () => {
         const book = new DemandBook(silentLog);
         book.take(create(DemandRequestSchema, {
             paces: [{ service: "s", model: "small", tokensPerSecond: 40_000 }, {
--- a/packages/fleet/src/tests/gatherers.test.ts
+++ b/packages/fleet/src/tests/gatherers.test.ts
@@ -1,29 +1,29 @@
 import { silentLog } from "@winchpath/core";
 import { expect } from "earl";
 import { beforeEach, describe, it } from "node:test";
-import { type Announcement, AnnouncementGatherer, gatherMs, type Reaffirmed, UpstreamState } from "../index.js";
+import { type Announcement, AnnouncementGatherer, batchIntervalMs, type Reaffirmed, UpstreamState } from "../index.js";
 import { announcement } from "./standins.js";
 
 class TestLeader {
     public leaderUrl = "http://a";
-    public readonly whole: Announcement[] = [];
+    public readonly announced: Announcement[] = [];
     public readonly reaffirmed: Reaffirmed[][] = [];
     public unknown: string[] = [];
-    public lost = false;
+    public isUnreachable = false;
 
-    public async announce(one: Announcement): Promise<void> {
-        this.fail();
-        this.whole.push(one);
+    public async announce(announcement: Announcement): Promise<void> {
+        this.throwIfUnreachable();
+        this.announced.push(announcement);
     }
 
     public async reaffirm(upstreams: readonly Reaffirmed[]): Promise<readonly string[]> {
-        this.fail();
+        this.throwIfUnreachable();
         this.reaffirmed.push([...upstreams]);
         return this.unknown;
     }
 
-    private fail(): void {
-        if (this.lost) {
+    private throwIfUnreachable(): void {
+        if (this.isUnreachable) {
             throw new Error("lost");
         }
     }
@@ -42,45 +42,45 @@
         await new Promise(resolve => setImmediate(resolve));
     }
 
-    it("passes the first word on whole, and gathers those that say nothing new", async t => {
+    it("forwards the first announcement in full, and batches unchanged ones", async t => {
         t.mock.timers.enable({ apis: ["Date", "setTimeout"], now: 1_000_000 });
-        const end = new AbortController();
-        void gatherer.run(end.signal);
+        const abort = new AbortController();
+        void gatherer.run(abort.signal);
         await gatherer.announce(announcement("u", 1));
         await gatherer.announce(announcement("u", 2));
         await gatherer.announce(announcement("u", 3));
-        expect(leader.whole.length).toEqual(1);
-        await pass(t, gatherMs);
+        expect(leader.announced.length).toEqual(1);
+        await pass(t, batchIntervalMs);
         expect(leader.reaffirmed).toEqual([[{ id: "u", sequence: 3n }]]);
-        end.abort();
+        abort.abort();
     });
 
-    it("passes on at once what is new: a state, a model, another leader", async () => {
+    it("forwards at once when the content or the leader changes", async () => {
         await gatherer.announce(announcement("u", 1));
         await gatherer.announce(announcement("u", 2, { state: UpstreamState.DRAINING }));
         leader.leaderUrl = "http://b";
         await gatherer.announce(announcement("u", 3, { state: UpstreamState.DRAINING }));
-        expect(leader.whole.length).toEqual(3);
+        expect(leader.announced.length).toEqual(3);
     });
 
-    it("acknowledges nothing once the leader was out of reach for a second", async t => {
+    it("acknowledges nothing once the leader has been unreachable for a second", async t => {
         t.mock.timers.enable({ apis: ["Date"], now: 1_000_000 });
         await gatherer.announce(announcement("u", 1));
         t.mock.timers.tick(1001);
-        leader.lost = true;
+        leader.isUnreachable = true;
         await expect(gatherer.announce(announcement("u", 2))).toBeRejected();
     });
 
-    it("tells a leader that has just begun whole what it doesn't know", async t => {
+    it("forwards announcements in full that a new leader does not know", async t => {
         t.mock.timers.enable({ apis: ["Date", "setTimeout"], now: 1_000_000 });
-        const end = new AbortController();
-        void gatherer.run(end.signal);
+        const abort = new AbortController();
+        void gatherer.run(abort.signal);
         await gatherer.announce(announcement("u", 1));
         await gatherer.announce(announcement("u", 2));
         leader.unknown = ["u"];
-        await pass(t, gatherMs);
+        await pass(t, batchIntervalMs);
         await new Promise(resolve => setImmediate(resolve));
-        expect(leader.whole.map(({ sequence }) => sequence)).toEqual([1n, 2n]);
-        end.abort();
+        expect(leader.announced.map(({ sequence }) => sequence)).toEqual([1n, 2n]);
+        abort.abort();
     });
 });
--- a/packages/fleet/src/tests/orderlines.test.ts
+++ b/packages/fleet/src/tests/orderlines.test.ts
@@ -8,7 +8,10 @@
     return { kind, model, adapter };
 }
 
-async function lineFor(engine: ScriptedEngine, fence: () => Fence | undefined = () => ({ holder: "h", token: 7 })) {
+async function startDispatcher(
+    engine: ScriptedEngine,
+    fence: () => Fence | undefined = () => ({ holder: "h", token: 7 }),
+) {
     const registry = registryWith(announcement("u", 1));
     const settled = new Notifier();
     const fenced: string[] = [];
@@ -20,12 +23,12 @@
         fenced: (id: string) => fenced.push(id),
         settled: () => settled.notify(),
     };
-    const line = new OrderLine("u", registry, engine, owner, silentLog);
-    await line.sync();
-    return { line, registry, fenced, unreachable, settled };
+    const dispatcher = new OrderLine("u", registry, engine, owner, silentLog);
+    await dispatcher.sync();
+    return { dispatcher, registry, fenced, unreachable, settled };
 }
 
-function held(registry: Registry): string[] {
+function heldNames(registry: Registry): string[] {
     return registry.get("u")!.upstream.models.flatMap(model => [
         model.name,
         ...model.adapters.map(adapter => `${model.name}/${adapter}`),
@@ -33,147 +36,147 @@
 }
 
 describe("OrderLine", () => {
-    it("gives no order to an engine that is busy with a load nobody told it of", async () => {
+    it("sends no order to an engine that is busy with another sender's load", async () => {
         const engine = new ScriptedEngine();
         engine.busy = true;
-        const { line } = await lineFor(engine);
-        expect(line.free).toEqual(false);
+        const { dispatcher } = await startDispatcher(engine);
+        expect(dispatcher.free).toEqual(false);
         engine.busy = false;
-        await line.sync();
-        expect(line.free).toEqual(true);
+        await dispatcher.sync();
+        expect(dispatcher.free).toEqual(true);
     });
 
-    it("sends nothing to an engine that wants rest from this host, and goes on once that is over", async () => {
+    it("sends nothing while the engine asks this host to back off, and resumes afterwards", async () => {
         const engine = new ScriptedEngine();
-        const { line, registry } = await lineFor(engine);
+        const { dispatcher, registry } = await startDispatcher(engine);
         engine.restsUntil = steadyNow() + 120;
         const startedAt = steadyNow();
-        await line.give(order("load", "m1"), 1);
-        expect(held(registry)).toEqual(["m1"]);
+        await dispatcher.give(order("load", "m1"), 1);
+        expect(heldNames(registry)).toEqual(["m1"]);
         expect(steadyNow() - startedAt).toBeGreaterThanOrEqual(120);
     });
 
-    it("says what is held once a load has ended", async () => {
+    it("adds a model to the registry once its load has completed", async () => {
         const engine = new ScriptedEngine();
-        const { line, registry } = await lineFor(engine);
-        await line.give(order("load", "m1"), 1);
-        expect(held(registry)).toEqual(["m1"]);
+        const { dispatcher, registry } = await startDispatcher(engine);
+        await dispatcher.give(order("load", "m1"), 1);
+        expect(heldNames(registry)).toEqual(["m1"]);
         expect(engine.orders[0].fence).toEqual({ holder: "h", token: 7 });
     });
 
-    it("counts a model as under way before its engine has accepted the order", async () => {
+    it("lists a model as loading before the engine has accepted the order", async () => {
         const engine = new ScriptedEngine();
-        const { line } = await lineFor(engine);
-        const given = line.give(order("load", "m1"), 1);
-        expect(line.loadingModels).toEqual(["m1"]);
-        await given;
-        expect(line.loadingModels).toEqual([]);
+        const { dispatcher } = await startDispatcher(engine);
+        const execution = dispatcher.give(order("load", "m1"), 1);
+        expect(dispatcher.loadingModels).toEqual(["m1"]);
+        await execution;
+        expect(dispatcher.loadingModels).toEqual([]);
     });
 
-    it("counts an adapter's unload, so that the next order is taken", async () => {
+    it("counts the unload of an adapter, so that the next order is accepted", async () => {
         const engine = new ScriptedEngine();
         engine.models.set("m1", new Set());
-        const { line, registry, settled } = await lineFor(engine);
-        await line.give(order("load", "m1", "a1"), 1);
-        await until(() => line.adaptersUnderWay.size === 0, settled, 1000, "the adapter to arrive");
+        const { dispatcher, registry, settled } = await startDispatcher(engine);
+        await dispatcher.give(order("load", "m1", "a1"), 1);
+        await until(() => dispatcher.adaptersUnderWay.size === 0, settled, 1000, "the adapter to be loaded");
         const before = engine.orders.length;
-        await line.give(order("unload", "m1", "a1"), 1);
-        await line.give(order("load", "m2"), 1);
+        await dispatcher.give(order("unload", "m1", "a1"), 1);
+        await dispatcher.give(order("load", "m2"), 1);
         expect(engine.orders.slice(before).map(({ expected }) => expected)).toEqual([1, 2, 3]);
-        expect(held(registry)).toEqual(["m1", "m2"]);
+        expect(heldNames(registry)).toEqual(["m1", "m2"]);
     });
 
-    it("reads the engine before anything else after the unload of an adapter that others have loaded", async () => {
+    it("reads the engine's state after unloading an adapter that another sender has loaded", async () => {
         const engine = new ScriptedEngine();
         engine.models.set("m1", new Set(["a1"]));
-        const { line, registry } = await lineFor(engine);
-        await line.give(order("unload", "m1", "a1"), 1);
-        expect([line.free, held(registry)]).toEqual([false, ["m1"]]);
-        await line.sync();
-        await line.give(order("load", "m2"), 1);
+        const { dispatcher, registry } = await startDispatcher(engine);
+        await dispatcher.give(order("unload", "m1", "a1"), 1);
+        expect([dispatcher.free, heldNames(registry)]).toEqual([false, ["m1"]]);
+        await dispatcher.sync();
+        await dispatcher.give(order("load", "m2"), 1);
         expect(engine.orders.map(({ expected }) => expected)).toEqual([0, 1, 2]);
-        expect(held(registry)).toEqual(["m1", "m2"]);
+        expect(heldNames(registry)).toEqual(["m1", "m2"]);
     });
 
-    it("sends an order without an answer again under the same number, so that it is taken once", async () => {
+    it("resends an unanswered order with the same expected count, so that it is executed once", async () => {
         const engine = new ScriptedEngine();
-        const { line, registry } = await lineFor(engine);
+        const { dispatcher, registry } = await startDispatcher(engine);
         engine.scripts.push((one, expected) => {
-            // It is carried out, and its answer is lost.
+            // The order is executed, but the reply is lost.
             engine.carryOut(one, expected);
             return OrderReply.unknown;
         });
-        await line.give(order("load", "m1"), 1);
+        await dispatcher.give(order("load", "m1"), 1);
         expect([engine.accepted, engine.crashed]).toEqual([1, false]);
-        expect(held(registry)).toEqual(["m1"]);
+        expect(heldNames(registry)).toEqual(["m1"]);
     });
 
-    it("lets a late copy of an order fail", async () => {
+    it("makes a late copy of an order fail", async () => {
         const engine = new ScriptedEngine();
-        const { line } = await lineFor(engine);
+        const { dispatcher } = await startDispatcher(engine);
         const late: (() => OrderReply)[] = [];
         engine.scripts.push((one, expected) => {
             late.push(() => engine.carryOut(one, expected));
             return OrderReply.unknown;
         });
-        await line.give(order("load", "m1"), 1);
-        await line.give(order("unload", "m1"), 1);
+        await dispatcher.give(order("load", "m1"), 1);
+        await dispatcher.give(order("unload", "m1"), 1);
         expect(late.map(run => run())).toEqual([OrderReply.conflict]);
         expect([...engine.models.keys()]).toEqual([]);
     });
 
-    it("reads the engine before anything else where an accepted adapter does not show", async () => {
+    it("requires the engine's state to be read after an accepted adapter load fails to complete", async () => {
         const engine = new ScriptedEngine();
         engine.models.set("m1", new Set());
-        const { line, settled } = await lineFor(engine);
+        const { dispatcher, settled } = await startDispatcher(engine);
         engine.scripts.push(() => OrderReply.accepted);
-        for (let tries = 0; tries < 9; tries++) {
+        for (let attempt = 0; attempt < 9; attempt++) {
             engine.scripts.push(() => OrderReply.conflict);
         }
-        await line.give(order("load", "m1", "a1"), 1);
-        expect(line.adaptersUnderWay.has("m1/a1")).toEqual(true);
-        await until(() => line.adaptersUnderWay.size === 0, settled, 10_000, "the checks to end");
-        expect(line.free).toEqual(false);
+        await dispatcher.give(order("load", "m1", "a1"), 1);
+        expect(dispatcher.adaptersUnderWay.has("m1/a1")).toEqual(true);
+        await until(() => dispatcher.adaptersUnderWay.size === 0, settled, 10_000, "polling to end");
+        expect(dispatcher.free).toEqual(false);
     });
 
-    it("sends no order without a number, also where an adapter fails to show while another order is on its way", async () => {
+    it("sends no order without an expected count, even if an adapter load fails while another order is in flight", async () => {
         const engine = new ScriptedEngine();
         engine.models.set("m1", new Set());
-        const { line, settled } = await lineFor(engine);
+        const { dispatcher, settled } = await startDispatcher(engine);
         engine.scripts.push(() => OrderReply.accepted, () => OrderReply.refused, () => OrderReply.accepted);
         engine.answerAfterMs = 100;
-        await line.give(order("load", "m1", "a1"), 1);
-        // The second order goes out while the first adapter is asked after, which is answered before it.
+        await dispatcher.give(order("load", "m1", "a1"), 1);
+        // The second order is sent while the first adapter is polled; that poll is answered first.
         await sleep(50);
-        await line.give(order("load", "m1", "a2"), 1);
-        await until(() => line.adaptersUnderWay.size === 0, settled, 10_000, "the checks to end");
-        expect(line.free).toEqual(false);
-        await line.give(order("load", "m1", "a3"), 1);
+        await dispatcher.give(order("load", "m1", "a2"), 1);
+        await until(() => dispatcher.adaptersUnderWay.size === 0, settled, 10_000, "polling to end");
+        expect(dispatcher.free).toEqual(false);
+        await dispatcher.give(order("load", "m1", "a3"), 1);
         expect(engine.orders.filter(({ expected }) => !Number.isInteger(expected))).toEqual([]);
     });
 
-    it("stops where somebody with a higher token gives orders", async () => {
+    it("stops when the engine has seen a higher fencing token", async () => {
         const engine = new ScriptedEngine();
-        const { line, fenced } = await lineFor(engine);
+        const { dispatcher, fenced } = await startDispatcher(engine);
         engine.scripts.push(() => OrderReply.fenced);
-        await line.give(order("load", "m1"), 1);
-        expect([fenced, line.free]).toEqual([["u"], false]);
+        await dispatcher.give(order("load", "m1"), 1);
+        expect([fenced, dispatcher.free]).toEqual([["u"], false]);
     });
 
-    it("sends no more to an engine that refuses connections, and says so", async () => {
+    it("stops when the engine refuses connections, and notifies its owner", async () => {
         const engine = new ScriptedEngine();
-        const { line, unreachable } = await lineFor(engine);
+        const { dispatcher, unreachable } = await startDispatcher(engine);
         engine.scripts.push(() => OrderReply.unreachable);
-        await line.give(order("load", "m1"), 1);
-        expect([engine.orders.length, unreachable, line.free]).toEqual([1, ["u"], false]);
+        await dispatcher.give(order("load", "m1"), 1);
+        expect([engine.orders.length, unreachable, dispatcher.free]).toEqual([1, ["u"], false]);
     });
 
-    it("sends nothing once its host may not give orders any more", async () => {
+    it("sends nothing once its host may no longer send orders", async () => {
         const engine = new ScriptedEngine();
         let fence: Fence | undefined = { holder: "h", token: 7 };
-        const { line } = await lineFor(engine, () => fence);
+        const { dispatcher } = await startDispatcher(engine, () => fence);
         fence = undefined;
-        await line.give(order("load", "m1"), 1);
+        await dispatcher.give(order("load", "m1"), 1);
         expect(engine.orders.length).toEqual(0);
     });
 });
--- a/packages/fleet/src/tests/roomengines.ts
+++ b/packages/fleet/src/tests/roomengines.ts
@@ -1,4 +1,4 @@
-/** An engine with a bounded number of places for adapters, and leaders that give it orders. */
+/** Simulated engine with limited adapter slots, and leaders that send it orders. */
 import { create } from "@bufbuild/protobuf";
 import { silentLog, sleep, steadyNow } from "@winchpath/core";
 import { type Configuration } from "@winchpath/declarations";
@@ -16,45 +16,51 @@
 } from "../index.js";
 import { announcement, spec } from "./standins.js";
 
-/** Three models with as many adapters as there are places. */
-const roomSpec = { ...spec, memoryMb: 302 };
-/** A report tells of so long before, in milliseconds. */
-const reportLagMs = 200;
-/** An adapter that was never there before takes so long, in milliseconds. */
-const transitMs = 14;
-const loadMs = 80;
-/** How often the engine looks whether the runs on a model have ended, in milliseconds. */
-const runCheckMs = 5;
-/** Adapters that may be on their way at once. */
-const maxTransits = 4;
-/** How often leaders hear of demand, in milliseconds. */
-const demandMs = 400;
+/** Memory for three models and as many adapters as there are slots. */
+const engineSpec = { ...spec, memoryMb: 302 };
+/** Age of the state in a report, in milliseconds. */
+const reportAgeMs = 200;
+/** Duration of an adapter load, in milliseconds. */
+const adapterLoadMs = 14;
+const modelLoadMs = 80;
+/** Interval at which a model unload checks for running requests, in milliseconds. */
+const requestPollMs = 5;
+/** Adapters that the engine loads at the same time. */
+const maxConcurrentAdapterLoads = 4;
+/** Interval at which demand is reported to leaders, in milliseconds. */
+const demandReportMs = 400;
 
 interface HeldAdapter {
     state: "coming" | "held" | "leaving";
 }
 
-interface Shown {
+interface TimedReport {
     readonly at: number;
     readonly report: EngineReport;
 }
 
-/** The page leaves open what an engine looks at first: the number of an order, or whether what it asks for is so already. */
+/**
+ * What the engine checks first: the expected count, or whether the requested state is already reached. The platform's
+ * specification allows both.
+ */
 export type FirstCheck = "number" | "content";
 
-/** Obeys what the platform's page says of orders, places and reports; crashes where it is ordered to hold more than it has room for. */
+/** Follows the platform's specification of orders, adapter slots and reports; crashes if ordered over its capacity. */
 export class RoomEngine {
-    /** The order that took it over its room. */
+    /** The order that exceeded the engine's capacity. */
     public crashedBy: EngineOrder | undefined;
     public accepted = 0;
     public readonly orders: EngineOrder[] = [];
-    /** Orders with a number that the engine had not reached: they could be carried out on a state that nobody has seen. */
-    public readonly ahead: EngineOrder[] = [];
-    /** Adapters with requests on them, "model/adapter". */
+    /**
+     * Orders whose expected count was too high: delivered later, they could be accepted in a state that they were not
+     * planned for.
+     */
+    public readonly ordersAhead: EngineOrder[] = [];
+    /** Adapters with running requests, as "model/adapter". */
     private readonly inUse = new Set<string>();
     private readonly models = new Map<string, Map<string, HeldAdapter>>();
     private busy = false;
-    private shown: Shown[] = [];
+    private reports: TimedReport[] = [];
 
     public constructor(
         held: Readonly<Record<string, readonly string[]>>,
@@ -63,17 +69,17 @@
         for (const [model, adapters] of Object.entries(held)) {
             this.models.set(model, new Map(adapters.map(name => [name, { state: "held" }])));
         }
-        this.show();
+        this.publishReport();
     }
 
-    /** Adapters that take a place, "model/adapter". */
+    /** Adapters that occupy a slot, as "model/adapter". */
     public get placed(): string[] {
         return [...this.models].flatMap(([model, adapters]) =>
             [...adapters.keys()].map(adapter => `${model}/${adapter}`)
         );
     }
 
-    /** What tells one state of it from another. */
+    /** Key of the engine's state. */
     public get state(): unknown {
         return {
             accepted: this.accepted,
@@ -86,24 +92,24 @@
         return [...this.models.keys()];
     }
 
-    /** Whether requests can begin on an adapter. */
+    /** Whether an adapter can serve new requests. */
     public holds(name: string): boolean {
         const [model, adapter] = name.split("/");
         return this.models.get(model)?.get(adapter)?.state === "held";
     }
 
-    /** Requests begin on an adapter. */
+    /** Marks an adapter as having running requests. */
     public use(name: string): void {
         this.inUse.add(name);
     }
 
-    /** The last request on an adapter has ended. */
+    /** Marks an adapter as idle, and completes its unload if one is in progress. */
     public release(name: string): void {
         this.inUse.delete(name);
         const [model, adapter] = name.split("/");
         if (this.models.get(model)?.get(adapter)?.state === "leaving") {
             this.models.get(model)!.delete(adapter);
-            this.show();
+            this.publishReport();
         }
     }
 
@@ -113,56 +119,56 @@
             return OrderReply.unreachable;
         }
         if (expected > this.accepted) {
-            this.ahead.push(order);
+            this.ordersAhead.push(order);
         }
         if (this.busy || (this.firstCheck === "number" && expected !== this.accepted)) {
             return OrderReply.conflict;
         }
-        const isSo = this.replyIfSo(order);
-        if (isSo !== undefined) {
-            return isSo;
+        const unchangedReply = this.replyIfUnchanged(order);
+        if (unchangedReply !== undefined) {
+            return unchangedReply;
         }
         if (expected !== this.accepted) {
             return OrderReply.conflict;
         }
         const reply = order.adapter === "" ? this.orderModel(order) : this.orderAdapter(order);
-        if (!this.hasRoom()) {
+        if (!this.isWithinCapacity()) {
             this.crashedBy = order;
         }
-        this.show();
+        this.publishReport();
         return reply;
     }
 
     public report(): EngineReport | undefined {
-        const from = steadyNow() - reportLagMs;
+        const from = steadyNow() - reportAgeMs;
         return this.crashedBy === undefined
-            ? (this.shown.findLast(({ at }) => at <= from) ?? this.shown[0]).report
+            ? (this.reports.findLast(({ at }) => at <= from) ?? this.reports[0]).report
             : undefined;
     }
 
-    /** The answer to an order that changes nothing. */
-    private replyIfSo({ kind, model, adapter }: EngineOrder): OrderReply | undefined {
+    /** The reply to an order that changes nothing; undefined for all others. */
+    private replyIfUnchanged({ kind, model, adapter }: EngineOrder): OrderReply | undefined {
         const adapters = this.models.get(model);
         if (adapter === "") {
             return (adapters !== undefined) === (kind === "load") ? OrderReply.holds : undefined;
         }
-        const stage = adapters?.get(adapter)?.state;
-        if (stage === undefined) {
+        const state = adapters?.get(adapter)?.state;
+        if (state === undefined) {
             return kind === "unload" && adapters !== undefined ? OrderReply.holds : undefined;
         }
         if (kind === "load") {
-            return stage === "held" ? OrderReply.holds : OrderReply.accepted;
+            return state === "held" ? OrderReply.holds : OrderReply.accepted;
         }
-        return stage === "leaving" ? OrderReply.accepted : undefined;
+        return state === "leaving" ? OrderReply.accepted : undefined;
     }
 
-    /** Carries out what is not so yet. */
+    /** Starts loading or unloading a model. */
     private orderModel({ kind, model }: EngineOrder): OrderReply {
         this.accepted += 1;
         this.busy = true;
         if (kind === "load") {
             this.models.set(model, new Map());
-            void this.afterwards(loadMs, () => this.busy = false);
+            void this.changeLater(modelLoadMs, () => this.busy = false);
         }
         else {
             void this.dropModel(model);
@@ -170,14 +176,14 @@
         return OrderReply.accepted;
     }
 
-    /** An unload waits for its runs, and then drops the model with its adapters. */
+    /** Waits for running requests, then drops the model with its adapters. */
     private async dropModel(model: string): Promise<void> {
         while ([...this.inUse].some(name => name.startsWith(`${model}/`))) {
-            await sleep(runCheckMs);
+            await sleep(requestPollMs);
         }
         this.models.delete(model);
         this.busy = false;
-        this.show();
+        this.publishReport();
     }
 
     private orderAdapter({ kind, model, adapter }: EngineOrder): OrderReply {
@@ -189,15 +195,15 @@
     }
 
     private loadAdapter(adapters: Map<string, HeldAdapter>, name: string): OrderReply {
-        const coming = [...this.models.values()].flatMap(each => [...each.values()])
+        const loading = [...this.models.values()].flatMap(each => [...each.values()])
             .filter(({ state }) => state === "coming");
-        if (coming.length >= maxTransits) {
+        if (loading.length >= maxConcurrentAdapterLoads) {
             return OrderReply.conflict;
         }
         this.accepted += 1;
         const held: HeldAdapter = { state: "coming" };
         adapters.set(name, held);
-        void this.afterwards(transitMs, () => held.state = "held");
+        void this.changeLater(adapterLoadMs, () => held.state = "held");
         return OrderReply.accepted;
     }
 
@@ -211,26 +217,27 @@
         return OrderReply.holds;
     }
 
-    private hasRoom(): boolean {
-        const usedMb = this.models.size * roomSpec.models[0].sizeMb + this.placed.length * roomSpec.models[0].adapterMb;
-        return this.placed.length <= roomSpec.adapterPlaces && usedMb <= roomSpec.memoryMb;
+    private isWithinCapacity(): boolean {
+        const usedMb = this.models.size * engineSpec.models[0].sizeMb
+            + this.placed.length * engineSpec.models[0].adapterMb;
+        return this.placed.length <= engineSpec.adapterPlaces && usedMb <= engineSpec.memoryMb;
     }
 
-    private async afterwards(ms: number, change: () => void): Promise<void> {
+    private async changeLater(ms: number, change: () => void): Promise<void> {
         await sleep(ms);
         change();
-        this.show();
+        this.publishReport();
     }
 
-    private show(): void {
+    private publishReport(): void {
         const models = [...this.models].map(([name, adapters]) =>
             create(HeldModelSchema, { name, adapters: [...adapters.keys()] })
         );
-        this.shown.push({ at: steadyNow(), report: { orders: this.accepted, busy: this.busy, models } });
+        this.reports.push({ at: steadyNow(), report: { orders: this.accepted, busy: this.busy, models } });
     }
 }
 
-/** What entries tell a leader of one model or adapter. */
+/** Demand for one model or adapter, as entries report it to a leader. */
 export interface ToldDemand {
     readonly model: string;
     readonly adapter: string;
@@ -238,14 +245,14 @@
     readonly waiting: number;
 }
 
-/** How an order reaches the engine, and what its sender hears of it. */
+/** Transport of an order to the engine and of its reply to the sender. */
 export type SendOrder = (order: EngineOrder, expected: number) => Promise<OrderReply>;
 
-/** A leader with nothing but its own registry, demand and orders; it knows one engine, "u". */
+/** A leader's registry, demand and placement, for the single engine "u". */
 export class RoomLeader {
     public readonly registry = new Registry(silentLog);
     private readonly demand = new DemandBook(silentLog);
-    private readonly ended = new AbortController();
+    private readonly stopped = new AbortController();
     private readonly placement: EnginePlacement;
 
     public constructor(
@@ -258,55 +265,55 @@
             announceMs: 60_000,
             fence: () => ({ holder: "h", token: 7 }),
             gaveOrder: () => undefined,
-            configuration: { services: [{ name: "s", engine: roomSpec }] } as unknown as Configuration,
+            configuration: { services: [{ name: "s", engine: engineSpec }] } as unknown as Configuration,
         };
-        this.placement = new EnginePlacement(control, this.registry, this.demand, this.calls(), silentLog);
+        this.placement = new EnginePlacement(control, this.registry, this.demand, this.engineCalls(), silentLog);
     }
 
     public start(): void {
-        void this.placement.run(this.ended.signal);
-        void this.hear();
+        void this.placement.run(this.stopped.signal);
+        void this.reportDemand();
     }
 
     public end(): void {
-        this.ended.abort();
+        this.stopped.abort();
     }
 
-    /** What it believes of the engine, and what it is doing there. */
+    /** The leader's view of the engine, with private fields of its dispatcher read by name. */
     public get state(): unknown {
         const line = (Reflect.get(this.placement, "lines") as Map<string, object>).get("u") ?? {};
         const fields = ["expected", "occupied", "loading", "transits", "departures", "loaded"];
-        const told = this.registry.get("u")!.upstream.models.map((
+        const listedModels = this.registry.get("u")!.upstream.models.map((
             { name, adapters, leaving },
         ) => [name, adapters, leaving]);
-        return [told, ...fields.map(field => plain(Reflect.get(line, field)))];
+        return [listedModels, ...fields.map(field => toPlain(Reflect.get(line, field)))];
     }
 
-    private async hear(): Promise<void> {
-        while (!this.ended.signal.aborted) {
+    private async reportDemand(): Promise<void> {
+        while (!this.stopped.signal.aborted) {
             this.demand.take(create(DemandRequestSchema, {
                 entry: "e",
-                intervalMs: demandMs,
+                intervalMs: demandReportMs,
                 items: this.needs().map(need => ({ service: "s", arrived: need.running + need.waiting, ...need })),
             }));
-            this.doubtMissing();
+            this.reportMismatches();
             this.placement.notify();
-            await sleep(demandMs);
+            await sleep(demandReportMs);
         }
     }
 
-    /** Requests for an adapter that is believed to be held are told by the engine that it isn't, and so is the leader. */
-    private doubtMissing(): void {
+    /** Reports requested adapters that are listed for the engine but that it does not hold. */
+    private reportMismatches(): void {
         const held = this.registry.get("u")!.upstream.models;
         for (const { model, adapter, running, waiting } of this.needs()) {
-            const isBelieved = held.some(({ name, adapters }) => name === model && adapters.includes(adapter));
-            if (isBelieved && running + waiting > 0 && !this.engine.holds(`${model}/${adapter}`)) {
+            const isListed = held.some(({ name, adapters }) => name === model && adapters.includes(adapter));
+            if (isListed && running + waiting > 0 && !this.engine.holds(`${model}/${adapter}`)) {
                 this.placement.doubt(create(MismatchSchema, { upstream: "u", model, adapter }));
             }
         }
     }
 
-    private calls(): EngineCalls {
+    private engineCalls(): EngineCalls {
         return {
             order: (_upstream, order, expected) => this.send(order, expected),
             report: async () => this.engine.report(),
@@ -315,6 +322,6 @@
     }
 }
 
-function plain(value: unknown): unknown {
+function toPlain(value: unknown): unknown {
     return value instanceof Set ? [...value] : value;
 }
--- a/packages/fleet/src/tests/worlds.test.ts
+++ b/packages/fleet/src/tests/worlds.test.ts
@@ -1,58 +1,58 @@
-/** Every way that a small world can go, up to a number of choices: an engine's room is kept in all of them. */
+/** Breadth-first search of all event sequences up to a bounded length: no engine is ever ordered over its capacity. */
 import { expect } from "earl";
 import { describe, it } from "node:test";
 import { type FirstCheck } from "./roomengines.js";
-import { type Choice, World } from "./worlds.js";
+import { type Action, Simulation } from "./worlds.js";
 
-/** Choices after a leader's first order; more are searched by hand. */
+/** Number of actions after the first leader's first order. */
 const depth = Number(process.env.WORLD_DEPTH ?? 6);
 
-interface Found {
+interface SearchResult {
     readonly states: number;
-    /** The shortest way to an engine over its room, or to an order ahead of its number. */
-    readonly fault: readonly string[] | undefined;
+    /** Shortest sequence of actions that overloads the engine or sends an order with too high an expected count. */
+    readonly violation: readonly string[] | undefined;
 }
 
-interface Branch {
-    readonly choices: readonly Choice[];
-    readonly told: readonly string[];
+interface Path {
+    readonly actions: readonly Action[];
+    readonly descriptions: readonly string[];
 }
 
-/** Looks at the shortest ways first. */
-async function search(firstCheck: FirstCheck): Promise<Found> {
+/** Breadth-first, so that the first violation found is a shortest one. */
+async function search(firstCheck: FirstCheck): Promise<SearchResult> {
     const seen = new Set<string>();
-    let branches: Branch[] = [{ choices: [], told: [] }];
+    let paths: Path[] = [{ actions: [], descriptions: [] }];
     for (let length = 0; length <= depth; length++) {
-        const next: Branch[] = [];
-        for (const branch of branches) {
-            const world = await World.play(firstCheck, branch.choices);
-            if (world.engine.crashedBy !== undefined || world.engine.ahead.length > 0) {
-                await world.end();
-                return { states: seen.size, fault: branch.told };
+        const next: Path[] = [];
+        for (const path of paths) {
+            const simulation = await Simulation.play(firstCheck, path.actions);
+            if (simulation.engine.crashedBy !== undefined || simulation.engine.ordersAhead.length > 0) {
+                await simulation.end();
+                return { states: seen.size, violation: path.descriptions };
             }
-            const { state } = world;
+            const { state } = simulation;
             if (!seen.has(state)) {
                 seen.add(state);
                 next.push(
-                    ...world.choices().map(choice => ({
-                        choices: [...branch.choices, choice],
-                        told: [...branch.told, world.describe(choice)],
+                    ...simulation.availableActions().map(action => ({
+                        actions: [...path.actions, action],
+                        descriptions: [...path.descriptions, simulation.describe(action)],
                     })),
                 );
             }
-            await world.end();
+            await simulation.end();
         }
-        branches = next;
+        paths = next;
     }
-    return { states: seen.size, fault: undefined };
+    return { states: seen.size, violation: undefined };
 }
 
-describe("a leader, the next one, and what is on its way to an engine", () => {
+describe("two overlapping leaders with orders in flight", () => {
     for (const firstCheck of ["number", "content"] as const) {
-        it(`never take it over its room within ${depth} choices (${firstCheck} looked at first)`, async t => {
-            const { states, fault } = await search(firstCheck);
+        it(`never overload an engine within ${depth} actions (engine checks the ${firstCheck} first)`, async t => {
+            const { states, violation } = await search(firstCheck);
             t.diagnostic(`${states} states`);
-            expect(fault).toEqual(undefined);
+            expect(violation).toEqual(undefined);
         });
     }
 });
--- a/packages/fleet/src/tests/worlds.ts
+++ b/packages/fleet/src/tests/worlds.ts
@@ -1,108 +1,108 @@
 /**
- * A small world that a search can play again from its start: one engine, a leader and the next one, which is begun while the
- * earlier one is alive, and what is on its way between them. Leaders run the product's own code.
+ * Deterministic simulation for a state space search: one engine, two leaders whose terms overlap, and the orders in
+ * flight between them. The leaders run the production code.
  */
 import { mock } from "node:test";
 import { describeOrder, type EngineOrder, OrderReply } from "../index.js";
 import { type FirstCheck, RoomEngine, RoomLeader, type SendOrder, type ToldDemand } from "./roomengines.js";
 import { pass } from "./times.js";
 
-/** Time after which a leader has heard enough to give its first order, in milliseconds. */
-const heardMs = 1700;
-/** An answer is given up after this long, in milliseconds. */
+/** Time until a leader has collected enough reports to send its first order, in milliseconds. */
+const warmUpMs = 1700;
+/** Timeout of an order, in milliseconds. */
 const callTimeoutMs = 600;
-/** Time passes until something new is on its way, or for so long, in milliseconds. */
-const longestPassMs = 2000;
-const passMs = 50;
-const startAt = 1_000_000;
-/** An adapter that requests run on which no leader hears of. */
-const unheard = "m1/a1";
-
-const needsOfFirst: readonly ToldDemand[] = [{ model: "m1", adapter: "a2", running: 0, waiting: 3 }];
-const needsOfNext: readonly ToldDemand[] = [{ model: "m1", adapter: "a3", running: 0, waiting: 3 }];
-
-/** What may happen next. Orders on their way are named by their place in the order of their sending. */
-export type Choice =
+/** The action "pass" lets time pass until another order is sent, but at most this long, in milliseconds. */
+const maxPassMs = 2000;
+const stepMs = 50;
+const startTimeMs = 1_000_000;
+/** An adapter with running requests that no leader is informed of. */
+const unreportedAdapter = "m1/a1";
+
+const firstLeaderNeeds: readonly ToldDemand[] = [{ model: "m1", adapter: "a2", running: 0, waiting: 3 }];
+const nextLeaderNeeds: readonly ToldDemand[] = [{ model: "m1", adapter: "a3", running: 0, waiting: 3 }];
+
+/** The next event of a simulation. Orders are numbered in the order in which they were sent. */
+export type Action =
     | { readonly kind: "pass" | "next-leader" | "release"; }
-    /** An order arrives; its answer is lost where `isAnswered` is false. */
+    /** An order reaches the engine; the reply is lost if `isAnswered` is false. */
     | { readonly kind: "arrive"; readonly order: number; readonly isAnswered: boolean; };
 
-interface Underway {
+interface PendingOrder {
     readonly number: number;
     readonly sender: number;
     readonly order: EngineOrder;
     readonly expected: number;
-    /** Undefined once its sender has given up on it. */
+    /** Undefined once the order has timed out at its sender. */
     answer: ((reply: OrderReply) => void) | undefined;
 }
 
-export class World {
+export class Simulation {
     public readonly engine: RoomEngine;
     private readonly leaders: RoomLeader[] = [];
-    private underway: Underway[] = [];
-    private sent = 0;
+    private pendingOrders: PendingOrder[] = [];
+    private sentCount = 0;
     private isInUse = true;
 
     private constructor(firstCheck: FirstCheck) {
         this.engine = new RoomEngine({ m1: ["a1"] }, firstCheck);
-        this.engine.use(unheard);
+        this.engine.use(unreportedAdapter);
     }
 
-    /** Plays choices from the start. Time has to be given back by {@link World.end}. */
-    public static async play(firstCheck: FirstCheck, choices: readonly Choice[]): Promise<World> {
-        mock.timers.enable({ apis: ["Date", "setTimeout"], now: startAt });
-        const world = new World(firstCheck);
-        world.begin(needsOfFirst);
-        await pass(heardMs);
-        for (const choice of choices) {
-            await world.take(choice);
+    /** Replays actions from the initial state with mocked timers, which {@link Simulation.end} restores. */
+    public static async play(firstCheck: FirstCheck, actions: readonly Action[]): Promise<Simulation> {
+        mock.timers.enable({ apis: ["Date", "setTimeout"], now: startTimeMs });
+        const simulation = new Simulation(firstCheck);
+        simulation.startLeader(firstLeaderNeeds);
+        await pass(warmUpMs);
+        for (const action of actions) {
+            await simulation.perform(action);
         }
-        return world;
+        return simulation;
     }
 
-    /** What ends of its own gives its timers back while they are this world's; another's would go in their place. */
+    /** Lets all tasks stop before the timers are reset, so that none clears a timer of a later simulation. */
     public async end(): Promise<void> {
         this.leaders.forEach(leader => leader.end());
-        await pass(passMs);
+        await pass(stepMs);
         mock.timers.reset();
     }
 
-    /** What may happen now. */
-    public choices(): Choice[] {
-        const arrivals = this.underway.flatMap(({ number, answer }): Choice[] => [
+    /** Actions that are possible in the current state. */
+    public availableActions(): Action[] {
+        const deliveries = this.pendingOrders.flatMap(({ number, answer }): Action[] => [
             { kind: "arrive", order: number, isAnswered: answer !== undefined },
             ...answer === undefined ? [] : [{ kind: "arrive" as const, order: number, isAnswered: false }],
         ]);
         return [
-            ...arrivals,
+            ...deliveries,
             ...this.leaders.length < 2 ? [{ kind: "next-leader" as const }] : [],
             ...this.isInUse ? [{ kind: "release" as const }] : [],
             { kind: "pass" },
         ];
     }
 
-    /** All that tells one state from another but the time since things have happened. */
+    /** Key of the current state, without elapsed times. */
     public get state(): string {
         return JSON.stringify({
             engine: this.engine.state,
             inUse: this.isInUse,
             leaders: this.leaders.map(leader => leader.state),
-            underway: this.underway.map(({ sender, order, expected, answer }) =>
+            underway: this.pendingOrders.map(({ sender, order, expected, answer }) =>
                 [sender, describeOrder(order), expected, answer !== undefined].join(" ")
             ).sort(),
         });
     }
 
-    public describe(choice: Choice): string {
-        if (choice.kind !== "arrive") {
-            return choice.kind;
+    public describe(action: Action): string {
+        if (action.kind !== "arrive") {
+            return action.kind;
         }
-        const { sender, order, expected } = this.underway.find(({ number }) => number === choice.order)!;
-        const fate = choice.isAnswered ? "arrives" : "arrives, unanswered";
-        return `leader ${sender}'s ${describeOrder(order)} under ${expected} ${fate}`;
+        const { sender, order, expected } = this.pendingOrders.find(({ number }) => number === action.order)!;
+        const fate = action.isAnswered ? "arrives" : "arrives, reply lost";
+        return `leader ${sender}: ${describeOrder(order)}, expected count ${expected}, ${fate}`;
     }
 
-    private begin(needs: readonly ToldDemand[]): void {
+    private startLeader(needs: readonly ToldDemand[]): void {
         const sender = this.leaders.length;
         const send: SendOrder = (order, expected) => this.send(sender, order, expected);
         const leader = new RoomLeader(this.engine, () => needs, send);
@@ -110,47 +110,47 @@
         leader.start();
     }
 
-    private async take(choice: Choice): Promise<void> {
-        switch (choice.kind) {
+    private async perform(action: Action): Promise<void> {
+        switch (action.kind) {
             case "pass":
-                return this.passUntilNews();
+                return this.passUntilOrderSent();
             case "next-leader":
-                this.begin(needsOfNext);
-                return pass(passMs);
+                this.startLeader(nextLeaderNeeds);
+                return pass(stepMs);
             case "release":
                 this.isInUse = false;
-                this.engine.release(unheard);
+                this.engine.release(unreportedAdapter);
                 return;
             case "arrive":
-                return this.arrive(choice.order, choice.isAnswered);
+                return this.deliver(action.order, action.isAnswered);
         }
     }
 
-    private async passUntilNews(): Promise<void> {
-        const before = this.sent;
-        for (let passed = 0; passed < longestPassMs && this.sent === before; passed += passMs) {
-            await pass(passMs);
+    private async passUntilOrderSent(): Promise<void> {
+        const before = this.sentCount;
+        for (let passed = 0; passed < maxPassMs && this.sentCount === before; passed += stepMs) {
+            await pass(stepMs);
         }
     }
 
-    private async arrive(number: number, isAnswered: boolean): Promise<void> {
-        const { order, expected, answer } = this.underway.find(one => one.number === number)!;
-        this.underway = this.underway.filter(one => one.number !== number);
+    private async deliver(number: number, isAnswered: boolean): Promise<void> {
+        const { order, expected, answer } = this.pendingOrders.find(one => one.number === number)!;
+        this.pendingOrders = this.pendingOrders.filter(one => one.number !== number);
         const reply = this.engine.order(order, expected);
         if (isAnswered) {
             answer?.(reply);
         }
-        await pass(passMs);
+        await pass(stepMs);
     }
 
     private send(sender: number, order: EngineOrder, expected: number): Promise<OrderReply> {
-        this.sent += 1;
-        const one: Underway = { number: this.sent, sender, order, expected, answer: undefined };
-        this.underway.push(one);
+        this.sentCount += 1;
+        const pending: PendingOrder = { number: this.sentCount, sender, order, expected, answer: undefined };
+        this.pendingOrders.push(pending);
         return new Promise(resolve => {
-            one.answer = resolve;
+            pending.answer = resolve;
             setTimeout(() => {
-                one.answer = undefined;
+                pending.answer = undefined;
                 resolve(OrderReply.unknown);
             }, callTimeoutMs);
         });
