--- a/packages/fleet/src/tests/orderlines.test.ts
+++ b/packages/fleet/src/tests/orderlines.test.ts
@@ -13,19 +13,19 @@
     fence: () => Fence | undefined = () => ({ holder: "h", token: 7 }),
 ) {
     const registry = registryWith(announcement("u", 1));
-    const settled = new Notifier();
-    const fenced: string[] = [];
-    const unreachable: string[] = [];
+    const changes = new Notifier();
+    const fencedIds: string[] = [];
+    const unreachableIds: string[] = [];
     const owner = {
         fence,
         gave: () => undefined,
-        unreachable: (id: string) => unreachable.push(id),
-        fenced: (id: string) => fenced.push(id),
-        settled: () => settled.notify(),
+        unreachable: (id: string) => unreachableIds.push(id),
+        fenced: (id: string) => fencedIds.push(id),
+        settled: () => changes.notify(),
     };
     const dispatcher = new OrderLine("u", registry, engine, owner, silentLog);
     await dispatcher.sync();
-    return { dispatcher, registry, fenced, unreachable, settled };
+    return { dispatcher, registry, fencedIds, unreachableIds, changes };
 }
 
 function heldNames(registry: Registry): string[] {
@@ -76,9 +76,9 @@
     it("counts the unload of an adapter, so that the next order is accepted", async () => {
         const engine = new ScriptedEngine();
         engine.models.set("m1", new Set());
-        const { dispatcher, registry, settled } = await startDispatcher(engine);
+        const { dispatcher, registry, changes } = await startDispatcher(engine);
         await dispatcher.give(order("load", "m1", "a1"), 1);
-        await until(() => dispatcher.adaptersUnderWay.size === 0, settled, 1000, "the adapter to be loaded");
+        await until(() => dispatcher.adaptersUnderWay.size === 0, changes, 1000, "the adapter to be loaded");
         const before = engine.orders.length;
         await dispatcher.give(order("unload", "m1", "a1"), 1);
         await dispatcher.give(order("load", "m2"), 1);
@@ -128,28 +128,28 @@
     it("requires the engine's state to be read after an accepted adapter load fails to complete", async () => {
         const engine = new ScriptedEngine();
         engine.models.set("m1", new Set());
-        const { dispatcher, settled } = await startDispatcher(engine);
+        const { dispatcher, changes } = await startDispatcher(engine);
         engine.scripts.push(() => OrderReply.accepted);
         for (let attempt = 0; attempt < 9; attempt++) {
             engine.scripts.push(() => OrderReply.conflict);
         }
         await dispatcher.give(order("load", "m1", "a1"), 1);
         expect(dispatcher.adaptersUnderWay.has("m1/a1")).toEqual(true);
-        await until(() => dispatcher.adaptersUnderWay.size === 0, settled, 10_000, "polling to end");
+        await until(() => dispatcher.adaptersUnderWay.size === 0, changes, 10_000, "polling to end");
         expect(dispatcher.free).toEqual(false);
     });
 
     it("sends no order without an expected count, even if an adapter load fails while another order is in flight", async () => {
         const engine = new ScriptedEngine();
         engine.models.set("m1", new Set());
-        const { dispatcher, settled } = await startDispatcher(engine);
+        const { dispatcher, changes } = await startDispatcher(engine);
         engine.scripts.push(() => OrderReply.accepted, () => OrderReply.refused, () => OrderReply.accepted);
         engine.answerAfterMs = 100;
         await dispatcher.give(order("load", "m1", "a1"), 1);
         // The second order is sent while the first adapter is polled; that poll is answered first.
         await sleep(50);
         await dispatcher.give(order("load", "m1", "a2"), 1);
-        await until(() => dispatcher.adaptersUnderWay.size === 0, settled, 10_000, "polling to end");
+        await until(() => dispatcher.adaptersUnderWay.size === 0, changes, 10_000, "polling to end");
         expect(dispatcher.free).toEqual(false);
         await dispatcher.give(order("load", "m1", "a3"), 1);
         expect(engine.orders.filter(({ expected }) => !Number.isInteger(expected))).toEqual([]);
@@ -157,18 +157,18 @@
 
     it("stops when the engine has seen a higher fencing token", async () => {
         const engine = new ScriptedEngine();
-        const { dispatcher, fenced } = await startDispatcher(engine);
+        const { dispatcher, fencedIds } = await startDispatcher(engine);
         engine.scripts.push(() => OrderReply.fenced);
         await dispatcher.give(order("load", "m1"), 1);
-        expect([fenced, dispatcher.free]).toEqual([["u"], false]);
+        expect([fencedIds, dispatcher.free]).toEqual([["u"], false]);
     });
 
     it("stops when the engine refuses connections, and notifies its owner", async () => {
         const engine = new ScriptedEngine();
-        const { dispatcher, unreachable } = await startDispatcher(engine);
+        const { dispatcher, unreachableIds } = await startDispatcher(engine);
         engine.scripts.push(() => OrderReply.unreachable);
         await dispatcher.give(order("load", "m1"), 1);
-        expect([engine.orders.length, unreachable, dispatcher.free]).toEqual([1, ["u"], false]);
+        expect([engine.orders.length, unreachableIds, dispatcher.free]).toEqual([1, ["u"], false]);
     });
 
     it("sends nothing once its host may no longer send orders", async () => {
