--- a/packages/fleet/src/announcements.ts
+++ b/packages/fleet/src/announcements.ts
@@ -1,4 +1,4 @@
-/** Takes announcements of upstreams, at the leader itself or on their way to it. */
+/** Receives announcements of upstreams, and applies them at the leader or forwards them to it. */
 import { type EventLog, Failure, FailureCode } from "@winchpath/core";
 import { type RpcClients } from "@winchpath/rpc";
 import { type Feed } from "./feeds.js";
@@ -7,28 +7,24 @@
 import { type Incarnation, incarnationId } from "./incarnations.js";
 import { type Registry } from "./registries.js";
 
-/**
- * How long an acknowledgement waits for the entries to confirm that they send
- * nothing more there. Callers give up after a second.
- */
-const spreadMs = 500;
-/** How long the leader may take when another host passes something on to it. */
-const relayMs = 800;
-/** Stands for the leader's URL where this host leads itself. */
-const ownUrl = "self";
+/** How long a departure waits for entries to confirm it; below the one second after which callers time out. */
+const confirmationTimeoutMs = 500;
+const relayTimeoutMs = 800;
+/** Replaces the leader's URL if this host is the leader. */
+const selfUrl = "self";
 
-/** A leader that can't confirm by then that it still is one acknowledges no departure, in milliseconds. */
-const confirmMs = 700;
+/** Departures fail if the leader can't confirm its leadership within this time. */
+const leadershipTimeoutMs = 700;
 
 export interface DeskControl {
     readonly leads: boolean;
-    /** Returns once a majority has confirmed that this host leads still; fails where none has in time. */
+    /** Resolves once a majority has confirmed that this host is still the leader; rejects after the timeout. */
     confirmLeadership(timeoutMs: number): Promise<void>;
-    /** URL of the leader; empty where none is known. */
+    /** URL of the leader; empty if unknown. */
     readonly leaderUrl: string;
 }
 
-/** Passes announcements on to the leader. */
+/** Forwards announcements to the leader. */
 export class AnnouncementRelay implements AnnouncementLeader {
     public constructor(
         private readonly control: Pick<DeskControl, "leaderUrl">,
@@ -40,16 +36,16 @@
     }
 
     public async announce(announcement: Announcement): Promise<void> {
-        await this.leader().announce({ announcement }, { timeoutMs: relayMs });
+        await this.leader().announce({ announcement }, { timeoutMs: relayTimeoutMs });
     }
 
     public async reaffirm(upstreams: readonly Reaffirmed[]): Promise<readonly string[]> {
-        const { unknown } = await this.leader().reaffirm({ upstreams: [...upstreams] }, { timeoutMs: relayMs });
+        const { unknown } = await this.leader().reaffirm({ upstreams: [...upstreams] }, { timeoutMs: relayTimeoutMs });
         return unknown;
     }
 
     public async leave(incarnation: Incarnation): Promise<void> {
-        await this.leader().leave(incarnation, { timeoutMs: relayMs });
+        await this.leader().leave(incarnation, { timeoutMs: relayTimeoutMs });
     }
 
     private leader() {
@@ -61,7 +57,7 @@
     }
 }
 
-/** Takes announcements at a host that may lead. */
+/** Receives announcements on a control host. */
 export class AnnouncementDesk implements AnnouncementLeader {
     private readonly relay: AnnouncementRelay;
     private readonly gatherer: AnnouncementGatherer;
@@ -77,62 +73,65 @@
         this.gatherer = new AnnouncementGatherer(this, log);
     }
 
-    /** Tells the leader of upstreams that say nothing new, until the signal is aborted. */
+    /** Sends batched reaffirmations to the leader until the signal is aborted. */
     public run(signal: AbortSignal): Promise<void> {
         return this.gatherer.run(signal);
     }
 
-    /** Returns once the leader knows it and, where the upstream drains, the entries in reach do. */
+    /** Resolves once the leader has applied it and, if the upstream drains, live entries have confirmed it. */
     public take(announcement: Announcement): Promise<void> {
         return this.gatherer.announce(announcement);
     }
 
     public get leaderUrl(): string {
-        return this.control.leads ? ownUrl : this.control.leaderUrl;
+        return this.control.leads ? selfUrl : this.control.leaderUrl;
     }
 
     public async announce(announcement: Announcement): Promise<void> {
         if (this.control.leads) {
-            return this.announceHere(announcement);
+            return this.announceLocally(announcement);
         }
         await this.relay.announce(announcement);
     }
 
     public async reaffirm(upstreams: readonly Reaffirmed[]): Promise<readonly string[]> {
-        return this.control.leads ? this.reaffirmHere(upstreams) : this.relay.reaffirm(upstreams);
+        return this.control.leads ? this.reaffirmLocally(upstreams) : this.relay.reaffirm(upstreams);
     }
 
-    /** Ids among them that are not known here. */
-    public reaffirmHere(upstreams: readonly Reaffirmed[]): string[] {
+    /** Returns the ids that the registry doesn't know. */
+    public reaffirmLocally(upstreams: readonly Reaffirmed[]): string[] {
         return upstreams.filter(({ id, sequence }) => !this.registry.reaffirm(id, sequence)).map(({ id }) => id);
     }
 
     public async leave(incarnation: Incarnation): Promise<void> {
         this.gatherer.forget(incarnationId(incarnation));
         if (this.control.leads) {
-            return this.leaveHere(incarnation);
+            return this.leaveLocally(incarnation);
         }
         await this.relay.leave(incarnation);
     }
 
-    public async announceHere(announcement: Announcement): Promise<void> {
+    public async announceLocally(announcement: Announcement): Promise<void> {
         const { upstream } = announcement;
         const position = this.registry.announce(announcement);
         this.feed.wake();
         if (upstream?.state === UpstreamState.DRAINING) {
-            await this.settleDeparture(position);
+            await this.confirmDeparture(position);
         }
     }
 
-    public async leaveHere({ name, born }: Incarnation): Promise<void> {
-        await this.settleDeparture(this.registry.leave(name, born));
+    public async leaveLocally({ name, born }: Incarnation): Promise<void> {
+        await this.confirmDeparture(this.registry.leave(name, born));
     }
 
     /**
-     * Returns once entries know it and this host has shown that it leads. One that had lost its majority 0.4 s before
-     * acknowledged a departure that the next leader never heard of; the upstream asks another host where this fails.
+     * Resolves once live entries have seen the change and a majority has confirmed this leader. Guards against
+     * a deposed leader acknowledging a departure that its successor never learns of; callers retry elsewhere.
      */
-    private async settleDeparture(position: number): Promise<void> {
-        await Promise.all([this.feed.spread(position, spreadMs), this.control.confirmLeadership(confirmMs)]);
+    private async confirmDeparture(position: number): Promise<void> {
+        await Promise.all([
+            this.feed.awaitConfirmation(position, confirmationTimeoutMs),
+            this.control.confirmLeadership(leadershipTimeoutMs),
+        ]);
     }
 }
--- a/packages/fleet/src/changelogs.ts
+++ b/packages/fleet/src/changelogs.ts
@@ -1,7 +1,7 @@
-/** Which upstreams changed after a position, without a look at all of them. */
+/** Index of changed upstreams by position, which avoids a scan of all upstreams. */
 
-/** Changes that are kept: some seconds of a fleet of a thousand, whose entries ask once a second at least. */
-const keptChanges = 8192;
+/** The log keeps at least this many of the latest changes, and at most twice as many. */
+const minRetainedChanges = 8192;
 
 interface Change {
     readonly id: string;
@@ -10,18 +10,18 @@
 
 export class ChangeLog {
     private changes: Change[] = [];
-    /** Position after which every change is kept. */
+    /** All changes after this position are retained. */
     private floor = 0;
 
     public add(id: string, position: number): void {
         this.changes.push({ id, position });
-        if (this.changes.length > 2 * keptChanges) {
-            this.floor = this.changes[keptChanges - 1].position;
-            this.changes = this.changes.slice(keptChanges);
+        if (this.changes.length > 2 * minRetainedChanges) {
+            this.floor = this.changes[minRetainedChanges - 1].position;
+            this.changes = this.changes.slice(minRetainedChanges);
         }
     }
 
-    /** Ids that changed after a position, each once; undefined where that is too long ago to tell. */
+    /** Distinct ids that changed after a position; undefined if changes since then were discarded. */
     public since(position: number): string[] | undefined {
         if (position < this.floor) {
             return undefined;
@@ -33,7 +33,7 @@
         return [...ids];
     }
 
-    /** Forgets everything up to a position. */
+    /** Discards all changes up to a position. */
     public clear(position: number): void {
         this.changes = [];
         this.floor = position;
--- a/packages/fleet/src/crashreports.ts
+++ b/packages/fleet/src/crashreports.ts
@@ -1,38 +1,37 @@
-/** The entry's side of the quarantine: tells the leader what ran at an upstream that seems to have ended. */
+/** Reports suspected upstream crashes, and the requests that ran there, from an entry to the leader. */
 import { type EventLog, messageOf, Notifier, sleep, steadyNow } from "@winchpath/core";
 import { type PeerClients } from "@winchpath/rpc";
 import { FleetService } from "./gen/winchpath/fleet/v1/fleet_pb.js";
 import { type FollowedLeader } from "./meters.js";
 
-/** What ended together is told together, in milliseconds. */
-const gatherMs = 5;
-/** A report without an answer is sent again after this long, and its pause, in milliseconds. */
+/** Crashes within this time are reported together. */
+const batchMs = 5;
 const reportTimeoutMs = 500;
 const retryMs = 100;
-/** What no leader has taken by then is given up, in milliseconds: an election takes two seconds at most. */
-const keptMs = 10_000;
-/** An address isn't probed again within this time, in milliseconds. */
-const probedMs = 500;
+/** Crashes that no leader has accepted within this time are dropped; longer than any election. */
+const retainMs = 10_000;
+/** How long the result of an address probe is reused. */
+const probeCacheMs = 500;
 const idleMs = 1000;
-/** Good ends that wait to be told; there are no more listed requests. */
-const mostEndedWell = 2000;
+/** Maximum number of successes waiting to be reported. */
+const maxSucceeded = 2000;
 
-interface Sight {
+interface CrashObservation {
     readonly upstream: string;
-    /** Steady time. */
+    /** Monotonic time. */
     readonly endedAt: number;
-    /** By fingerprint; `sentAt` is a steady time. */
-    readonly suspects: Map<string, LostRequest>;
-    /** Undefined while its address is probed. */
+    /** Requests that ran there, by fingerprint. */
+    readonly suspects: Map<string, InterruptedRequest>;
+    /** Whether its address refuses connections; undefined while it is being probed. */
     refused: boolean | undefined;
 }
 
-/** A request under which a connection was lost. */
-export interface LostRequest {
+/** A request that was running when a connection was lost. */
+export interface InterruptedRequest {
     readonly fingerprint: string;
-    /** Of its body, in bytes. */
+    /** Size of the body in bytes. */
     readonly size: number;
-    /** Steady time. */
+    /** Monotonic time. */
     readonly sentAt: number;
 }
 
@@ -41,46 +40,46 @@
     readonly refused: Promise<boolean>;
 }
 
-/** Whether an address refuses connections. */
+/** Resolves to whether an address refuses connections. */
 export type AddressProbe = (address: string) => Promise<boolean>;
 
 export class CrashReporter {
     private readonly wake = new Notifier();
-    private sights: Sight[] = [];
+    private observations: CrashObservation[] = [];
     private readonly probes = new Map<string, Probe>();
-    private endedWell = new Set<string>();
+    private succeededFingerprints = new Set<string>();
 
     public constructor(private readonly probe: AddressProbe, private readonly log: EventLog) {}
 
-    /** The connection to an upstream was lost under a request. */
-    public lost(upstream: { readonly id: string; readonly address: string; }, request: LostRequest): void {
-        const open = this.sights.find(sight => sight.upstream === upstream.id);
-        if (open !== undefined) {
-            noteLatest(open, request);
+    /** Records that the connection to an upstream was lost during a request. */
+    public lost(upstream: { readonly id: string; readonly address: string; }, request: InterruptedRequest): void {
+        const existing = this.observations.find(observation => observation.upstream === upstream.id);
+        if (existing !== undefined) {
+            keepLatest(existing, request);
             return;
         }
-        const sight: Sight = {
+        const observation: CrashObservation = {
             upstream: upstream.id,
             endedAt: steadyNow(),
             suspects: new Map([[request.fingerprint, request]]),
             refused: undefined,
         };
-        this.sights.push(sight);
+        this.observations.push(observation);
         void this.probeOnce(upstream.address).then(refused => {
-            sight.refused = refused;
+            observation.refused = refused;
             this.wake.notify();
         });
     }
 
-    /** A listed request came to a good end. */
+    /** Records that a quarantined request has completed normally. */
     public succeeded(fingerprint: string): void {
-        if (this.endedWell.size < mostEndedWell) {
-            this.endedWell.add(fingerprint);
+        if (this.succeededFingerprints.size < maxSucceeded) {
+            this.succeededFingerprints.add(fingerprint);
             this.wake.notify();
         }
     }
 
-    /** Tells the leader until the signal is aborted. */
+    /** Sends reports to the leader until the signal is aborted. */
     public async run(
         entry: string,
         clients: PeerClients,
@@ -88,43 +87,43 @@
         signal: AbortSignal,
     ): Promise<void> {
         while (!signal.aborted) {
-            await this.wake.wait(this.hasNews ? retryMs : idleMs);
-            await sleep(gatherMs, signal);
+            await this.wake.wait(this.hasReports ? retryMs : idleMs);
+            await sleep(batchMs, signal);
             const { url } = leader();
-            if (this.hasNews && url !== "" && !signal.aborted) {
+            if (this.hasReports && url !== "" && !signal.aborted) {
                 await this.report(entry, clients, url);
             }
         }
     }
 
-    private get hasNews(): boolean {
-        return this.endedWell.size > 0 || this.sights.some(({ refused }) => refused !== undefined);
+    private get hasReports(): boolean {
+        return this.succeededFingerprints.size > 0 || this.observations.some(({ refused }) => refused !== undefined);
     }
 
     private async report(entry: string, clients: PeerClients, url: string): Promise<void> {
-        const told = this.sights.filter(({ refused }) => refused !== undefined);
-        const { endedWell } = this;
-        this.sights = this.sights.filter(({ refused }) => refused === undefined);
-        this.endedWell = new Set();
+        const sent = this.observations.filter(({ refused }) => refused !== undefined);
+        const { succeededFingerprints } = this;
+        this.observations = this.observations.filter(({ refused }) => refused === undefined);
+        this.succeededFingerprints = new Set();
         try {
-            const req = { entry, sights: told.map(encodeSight), endedWell: [...endedWell] };
+            const req = { entry, sights: sent.map(encodeObservation), endedWell: [...succeededFingerprints] };
             await clients.client(FleetService, url).reportCrashes(req, { timeoutMs: reportTimeoutMs });
         }
         catch (err) {
-            this.log.warn("crashes.untold", { leader: url, sights: told.length, error: messageOf(err) });
-            this.sights.push(...told.filter(({ endedAt }) => steadyNow() - endedAt < keptMs));
-            endedWell.forEach(fingerprint => this.endedWell.add(fingerprint));
+            this.log.warn("crashes.untold", { leader: url, sights: sent.length, error: messageOf(err) });
+            this.observations.push(...sent.filter(({ endedAt }) => steadyNow() - endedAt < retainMs));
+            succeededFingerprints.forEach(fingerprint => this.succeededFingerprints.add(fingerprint));
         }
     }
 
     private probeOnce(address: string): Promise<boolean> {
         const now = steadyNow();
         const last = this.probes.get(address);
-        if (last !== undefined && now - last.at < probedMs) {
+        if (last !== undefined && now - last.at < probeCacheMs) {
             return last.refused;
         }
         for (const [other, { at }] of this.probes) {
-            if (now - at >= probedMs) {
+            if (now - at >= probeCacheMs) {
                 this.probes.delete(other);
             }
         }
@@ -134,14 +133,14 @@
     }
 }
 
-function noteLatest({ suspects }: Sight, request: LostRequest): void {
+function keepLatest({ suspects }: CrashObservation, request: InterruptedRequest): void {
     const before = suspects.get(request.fingerprint);
     if (before === undefined || before.sentAt < request.sentAt) {
         suspects.set(request.fingerprint, request);
     }
 }
 
-function encodeSight({ upstream, refused, endedAt, suspects }: Sight) {
+function encodeObservation({ upstream, refused, endedAt, suspects }: CrashObservation) {
     const now = steadyNow();
     return {
         upstream,
--- a/packages/fleet/src/encodings.ts
+++ b/packages/fleet/src/encodings.ts
@@ -1,19 +1,16 @@
-/**
- * Upstreams as the feed carries them. A leader tells each entry of the same changes; encoded once for all,
- * a thousand upstreams for ninety entries are a thousand encodings, and not ninety thousand.
- */
+/** Encodes feed messages. Each version of an upstream is encoded once and shared by the responses to all entries. */
 import { fromBinary, toBinary } from "@bufbuild/protobuf";
 import { type QuarantineChanges } from "@winchpath/quarantine";
 import { type PollResponse, type Upstream, UpstreamSchema } from "./gen/winchpath/fleet/v1/fleet_pb.js";
 
-const encoded = new WeakMap<Upstream, Uint8Array>();
+const encodedUpstreams = new WeakMap<Upstream, Uint8Array>();
 
-/** An upstream's message; made once, so what was encoded must not be changed any more. */
+/** Returns the cached encoding of an upstream, which must not be modified after the first call. */
 export function encodeUpstream(upstream: Upstream): Uint8Array {
-    let bytes = encoded.get(upstream);
+    let bytes = encodedUpstreams.get(upstream);
     if (bytes === undefined) {
         bytes = toBinary(UpstreamSchema, upstream);
-        encoded.set(upstream, bytes);
+        encodedUpstreams.set(upstream, bytes);
     }
     return bytes;
 }
--- a/packages/fleet/src/feedpaces.ts
+++ b/packages/fleet/src/feedpaces.ts
@@ -1,18 +1,16 @@
 /**
- * How often the leader tells entries of changes. In a large fleet something
- * changes at any moment, and an answer for each change and entry would take
- * more than the leader's core: 70 changes a second for 68 entries. What an
- * entry needs at once goes out at once; the rest is gathered.
+ * Limits how often the leader sends changes to each entry. Urgent changes are sent at once; others are batched,
+ * since a response per change and entry would exhaust the leader's CPU in large fleets.
  */
 
-/** Changes of one moment travel together, in milliseconds. */
-export const gatherMs = 5;
-/** Processor time that one answer takes the leader, in milliseconds: 0.36 as measured with 68 entries, rounded up. */
-const answerMs = 0.4;
-/** Share of a core that answers may take while changes never stop. */
-const feedShare = 0.15;
+/** Changes within this time are sent together. */
+export const batchMs = 5;
+/** CPU time that one response costs the leader, in milliseconds. */
+const responseCpuMs = 0.4;
+/** Maximum share of a core that responses may use under continuous changes. */
+const maxCpuShare = 0.15;
 
-/** Time between two answers to one entry that tell nothing urgent, in milliseconds: 180 for 68 entries, 11 for 4. */
+/** Minimum time between two responses to one entry without urgent changes, in milliseconds. */
 export function ordinaryPaceMs(entries: number): number {
-    return Math.max(gatherMs, entries * answerMs / feedShare);
+    return Math.max(batchMs, entries * responseCpuMs / maxCpuShare);
 }
--- a/packages/fleet/src/feeds.ts
+++ b/packages/fleet/src/feeds.ts
@@ -1,62 +1,62 @@
-/** The leader's side of the feed: entries poll for changes, and confirm what they have taken in. */
+/** The leader's change feed: entries long-poll for changes, and each poll confirms the changes applied so far. */
 import { create } from "@bufbuild/protobuf";
 import { type EventLog, Notifier, steadyNow } from "@winchpath/core";
 import { type ConfigurationDocument } from "@winchpath/declarations";
 import { type CrashBook } from "@winchpath/quarantine";
 import { encodeQuarantine, encodeUpstream } from "./encodings.js";
-import { gatherMs, ordinaryPaceMs } from "./feedpaces.js";
+import { batchMs, ordinaryPaceMs } from "./feedpaces.js";
 import { type PollRequest, type PollResponse, PollResponseSchema } from "./gen/winchpath/fleet/v1/fleet_pb.js";
 import { modelName } from "./items.js";
 import { type Registry } from "./registries.js";
 
-/** An entry that has not polled for this long is taken for dead or cut off: three polls at the usual second. */
-const entryLostMs = 3000;
-/** A new leader may take this long to hear of every upstream: three announcements at the usual 1.2 s. */
-const completeAfterMs = 4000;
+/** An entry that has not polled for this long counts as disconnected (three polls). */
+const entryTimeoutMs = 3000;
+/** Time for a new leader to receive an announcement from every upstream (three at the default interval). */
+const warmUpMs = 4000;
 
-/** Entries are counted anew after this long, in milliseconds: the count sets paces and shares. */
-const countMs = 100;
+/** How long the count of live entries is cached. */
+const countCacheMs = 100;
 
-/** What the feed asks of the control group's replica. */
+/** The state of the control group's replica that the feed needs. */
 export interface FeedControl {
-    /** Identity of the leadership; undefined where this replica does not lead. */
+    /** Identity of the leadership; undefined if this replica is not the leader. */
     readonly epoch: string | undefined;
-    /** Milliseconds for which it has led. */
+    /** Milliseconds since this replica became the leader. */
     readonly ledMs: number;
-    /** Milliseconds since the latest moment at which a majority is known to have followed it. */
+    /** Milliseconds since a majority last confirmed the leadership. */
     readonly quorumAgeMs: number;
     readonly leaderUrl: string;
     readonly controlUrls: readonly string[];
     readonly document: ConfigurationDocument | undefined;
-    /** Requests under which upstreams have ended. */
+    /** Requests that have crashed upstreams. */
     readonly quarantine: Pick<CrashBook, "key" | "position" | "since">;
-    /** Models that requests wait for at an entry, by {@link modelName}. */
+    /** Models that requests at an entry are waiting for, by {@link modelName}. */
     awaitedAt(entry: string): ReadonlySet<string>;
-    /** Returns once all that was accepted before is applied here, or fails. */
+    /** Resolves once all previously accepted commands are applied on this replica. */
     barrier(): Promise<void>;
 }
 
 interface EntryState {
     position: number;
     polledAt: number;
-    /** Steady time of the last answer. */
+    /** Monotonic time of the last response. */
     answeredAt: number;
 }
 
-/** A poll that is not answered yet. */
+/** A poll without a response so far. */
 interface WaitingPoll {
     readonly req: PollRequest;
     readonly wake: Notifier;
-    /** Whether it waits only for its time: there is something to tell. */
-    knowsNews: boolean;
+    /** Whether there are changes to send once the minimum response interval has passed. */
+    hasUpdates: boolean;
 }
 
 export class Feed {
     private readonly entries = new Map<string, EntryState>();
-    /** Notified when an entry has confirmed something. */
+    /** Notified when an entry has polled, and so confirmed a position. */
     private readonly confirmed = new Notifier();
-    private readonly waiting = new Set<WaitingPoll>();
-    private counted = { at: Number.NEGATIVE_INFINITY, live: 0 };
+    private readonly waitingPolls = new Set<WaitingPoll>();
+    private liveCount = { at: Number.NEGATIVE_INFINITY, live: 0 };
 
     public constructor(
         private readonly registry: Registry,
@@ -64,27 +64,27 @@
         private readonly log: EventLog,
     ) {}
 
-    /** Wakes the polls that wait; called at each change of registry or document. */
+    /** Wakes waiting polls; called after each change of the registry or the document. */
     public wake(): void {
-        for (const poll of this.waiting) {
-            // Most wait for their time already: 300 entries and 70 changes a second would take a tenth of a core.
-            if (!poll.knowsNews || this.newsDueMs(poll.req) <= 0) {
+        for (const poll of this.waitingPolls) {
+            // Polls that only wait for their interval aren't woken, to save CPU in large fleets.
+            if (!poll.hasUpdates || this.updateDueMs(poll.req) <= 0) {
                 poll.wake.notify();
             }
         }
     }
 
-    /** Entries that have polled lately. */
+    /** Number of entries that have polled recently. */
     public get liveEntries(): number {
         const now = steadyNow();
-        if (now - this.counted.at < countMs) {
-            return this.counted.live;
+        if (now - this.liveCount.at < countCacheMs) {
+            return this.liveCount.live;
         }
         let live = 0;
         for (const { polledAt } of this.entries.values()) {
-            live += now - polledAt < entryLostMs ? 1 : 0;
+            live += now - polledAt < entryTimeoutMs ? 1 : 0;
         }
-        this.counted = { at: now, live };
+        this.liveCount = { at: now, live };
         return live;
     }
 
@@ -92,50 +92,52 @@
         const { epoch } = this.control;
         const startedAt = steadyNow();
         if (epoch === undefined) {
-            return this.notLeader();
+            return this.createNotLeaderResponse();
         }
         if (req.probe) {
             return create(PollResponseSchema, { leads: true, controlUrls: [...this.control.controlUrls] });
         }
-        const fresh = req.epoch !== epoch;
-        if (fresh) {
-            // What was acknowledged by earlier leaders must be in the first answer.
+        const isNewEpoch = req.epoch !== epoch;
+        if (isNewEpoch) {
+            // The first response must include everything that earlier leaders acknowledged.
             await this.control.barrier();
         }
-        this.note(req, fresh);
-        if (!fresh) {
+        this.recordPoll(req, isNewEpoch);
+        if (!isNewEpoch) {
             await this.awaitChange(req, epoch);
         }
-        return this.control.epoch === epoch ? this.answer(req, epoch, fresh, startedAt) : this.notLeader();
+        return this.control.epoch === epoch
+            ? this.createResponse(req, epoch, isNewEpoch, startedAt)
+            : this.createNotLeaderResponse();
     }
 
-    /** Returns once every entry in reach has confirmed `position`, or after `timeoutMs`. */
-    public async spread(position: number, timeoutMs: number): Promise<void> {
+    /** Resolves once every live entry has confirmed `position`, or after `timeoutMs`. */
+    public async awaitConfirmation(position: number, timeoutMs: number): Promise<void> {
         const deadline = steadyNow() + timeoutMs;
         this.wake();
-        while (steadyNow() < deadline && this.behind(position).length > 0) {
+        while (steadyNow() < deadline && this.unconfirmedEntries(position).length > 0) {
             await this.confirmed.wait(deadline - steadyNow());
         }
-        const behind = this.behind(position);
-        if (behind.length > 0) {
-            this.log.warn("feed.unconfirmed", { position, entries: behind });
+        const unconfirmed = this.unconfirmedEntries(position);
+        if (unconfirmed.length > 0) {
+            this.log.warn("feed.unconfirmed", { position, entries: unconfirmed });
         }
     }
 
-    private behind(position: number): string[] {
+    private unconfirmedEntries(position: number): string[] {
         const now = steadyNow();
         return [...this.entries]
-            .filter(([, entry]) => now - entry.polledAt < entryLostMs && entry.position < position)
+            .filter(([, entry]) => now - entry.polledAt < entryTimeoutMs && entry.position < position)
             .map(([name]) => name);
     }
 
-    private note(req: PollRequest, fresh: boolean): void {
+    private recordPoll(req: PollRequest, isNewEpoch: boolean): void {
         if (!this.entries.has(req.entry)) {
             this.log.info("entry.known", { entry: req.entry });
-            this.counted.at = Number.NEGATIVE_INFINITY;
+            this.liveCount.at = Number.NEGATIVE_INFINITY;
         }
         this.entries.set(req.entry, {
-            position: fresh ? 0 : Number(req.position),
+            position: isNewEpoch ? 0 : Number(req.position),
             polledAt: steadyNow(),
             answeredAt: this.entries.get(req.entry)?.answeredAt ?? Number.NEGATIVE_INFINITY,
         });
@@ -145,30 +147,30 @@
     private async awaitChange(req: PollRequest, epoch: string): Promise<void> {
         const deadline = steadyNow() + req.waitMs;
         const wake = new Notifier();
-        const poll: WaitingPoll = { req, wake, knowsNews: false };
-        this.waiting.add(poll);
+        const poll: WaitingPoll = { req, wake, hasUpdates: false };
+        this.waitingPolls.add(poll);
         try {
             for (;;) {
-                const dueMs = this.newsDueMs(req);
+                const dueMs = this.updateDueMs(req);
                 const leftMs = deadline - steadyNow();
                 if (dueMs <= 0 || leftMs <= 0 || this.control.epoch !== epoch) {
                     break;
                 }
-                poll.knowsNews = Number.isFinite(dueMs);
+                poll.hasUpdates = Number.isFinite(dueMs);
                 await wake.wait(Math.min(dueMs, leftMs));
             }
-            if (this.hasNews(req)) {
-                await new Promise(resolve => setTimeout(resolve, gatherMs));
+            if (this.hasUpdates(req)) {
+                await new Promise(resolve => setTimeout(resolve, batchMs));
             }
         }
         finally {
-            this.waiting.delete(poll);
+            this.waitingPolls.delete(poll);
         }
     }
 
-    /** Milliseconds until the entry is to be told what it doesn't know yet; infinite where there is nothing. */
-    private newsDueMs(req: PollRequest): number {
-        if (!this.hasNews(req)) {
+    /** Milliseconds until pending changes are due at the entry; infinite if there are none. */
+    private updateDueMs(req: PollRequest): number {
+        if (!this.hasUpdates(req)) {
             return Number.POSITIVE_INFINITY;
         }
         if (this.isUrgent(req)) {
@@ -178,7 +180,7 @@
         return answeredAt + ordinaryPaceMs(this.liveEntries) - steadyNow();
     }
 
-    /** Whether requests would go wrong, or wait for longer, if the entry was told later. */
+    /** Whether a delay would misroute requests or keep them waiting. */
     private isUrgent(req: PollRequest): boolean {
         const position = Number(req.position);
         if (this.registry.urgentPosition > position || this.hasNewerDocument(req) || this.hasNewerQuarantine(req)) {
@@ -191,12 +193,12 @@
             );
     }
 
-    private hasNews(req: PollRequest): boolean {
+    private hasUpdates(req: PollRequest): boolean {
         return this.registry.position > Number(req.position) || this.hasNewerDocument(req)
             || this.hasNewerQuarantine(req);
     }
 
-    /** Each request that goes on to upstreams meanwhile may end one more. */
+    /** Always urgent: each request that passes in the meantime may crash another upstream. */
     private hasNewerQuarantine(req: PollRequest): boolean {
         return this.control.quarantine.position > Number(req.quarantinePosition);
     }
@@ -206,9 +208,9 @@
         return document !== undefined && document.version > Number(req.documentVersion);
     }
 
-    private answer(req: PollRequest, epoch: string, fresh: boolean, startedAt: number): PollResponse {
+    private createResponse(req: PollRequest, epoch: string, isNewEpoch: boolean, startedAt: number): PollResponse {
         const { control } = this;
-        const changes = this.registry.since(fresh ? -1 : Number(req.position));
+        const changes = this.registry.since(isNewEpoch ? -1 : Number(req.position));
         const document = this.hasNewerDocument(req) ? control.document : undefined;
         const state = this.entries.get(req.entry)!;
         state.polledAt = steadyNow();
@@ -218,20 +220,20 @@
             position: BigInt(changes.position),
             changed: changes.changed.map(encodeUpstream),
             removed: [...changes.removed],
-            left: [...changes.left],
+            left: [...changes.departed],
             documentVersion: BigInt(document?.version ?? 0),
             documentText: document?.text ?? "",
             entries: this.liveEntries,
-            complete: control.ledMs > completeAfterMs,
+            complete: control.ledMs > warmUpMs,
             controlUrls: [...control.controlUrls],
             waitedMs: Math.max(0, state.polledAt - startedAt - 1),
             quorumAgeMs: Math.ceil(control.quorumAgeMs) + 1,
             fingerprintKey: control.quarantine.key,
-            ...encodeQuarantine(control.quarantine.since(fresh ? 0 : Number(req.quarantinePosition))),
+            ...encodeQuarantine(control.quarantine.since(isNewEpoch ? 0 : Number(req.quarantinePosition))),
         });
     }
 
-    private notLeader(): PollResponse {
+    private createNotLeaderResponse(): PollResponse {
         const { leaderUrl, controlUrls } = this.control;
         return create(PollResponseSchema, { notLeader: true, leaderUrl, controlUrls: [...controlUrls] });
     }
--- a/packages/fleet/src/followers.ts
+++ b/packages/fleet/src/followers.ts
@@ -1,35 +1,31 @@
-/** The entry's task that finds the leader and polls it. */
+/** The entry's client of the change feed: discovers the leader and polls it. */
 import { type EventLog, messageOf, sleep, steadyNow } from "@winchpath/core";
 import { isSilence, type PeerClients } from "@winchpath/rpc";
 import { FleetService, type PollResponse } from "./gen/winchpath/fleet/v1/fleet_pb.js";
 import { type FollowedLeader } from "./meters.js";
 import { type FleetView } from "./views.js";
 
-/** How long the leader may hold a poll without news, in milliseconds. */
+/** How long the leader may hold a poll without changes. */
 const pollWaitMs = 1000;
-/** A poll without an answer for this long is given up; half a second beyond what the leader may wait. */
+/** Timeout of a poll; exceeds the time for which the leader may hold it. */
 const pollTimeoutMs = 1500;
-/** A host that has not said by then who leads is passed over, in milliseconds. */
 const probeTimeoutMs = 500;
-/** A leader that has just begun tells ninety entries of a thousand upstreams at once, 120 KB each. */
-const firstTimeoutMs = 2500;
-/** Pause before the next host is asked, in milliseconds. */
+/** Timeout of the first poll of a leader; longer, since a new leader sends all entries a full snapshot at once. */
+const initialPollTimeoutMs = 2500;
 const retryMs = 50;
-/** Hosts that are asked at once who leads. */
-const askedAtOnce = 3;
-/** A host that has failed is passed over for this long, in milliseconds: an election takes about as long. */
-const failedMs = 1500;
+const maxParallelProbes = 3;
+/** A host that has failed is skipped for this long; about the duration of an election. */
+const failureCooldownMs = 1500;
 
-/** What a host has answered. */
-interface Answer {
+interface HostResponse {
     readonly url: string;
     readonly res: PollResponse;
 }
 
-export interface FollowerOptions {
+export interface FeedFollowerOptions {
     readonly entry: string;
     readonly dataCentre: string;
-    /** URLs of control hosts from the settings; they may change. */
+    /** URLs of control hosts from the current settings. */
     readonly seeds: () => readonly string[];
 }
 
@@ -37,85 +33,85 @@
     private epoch = "";
     private position = 0n;
     private leaderUrl = "";
-    private remembered: readonly string[] = [];
-    private nextHost = 0;
-    /** Host that another one said leads; it is asked itself before it is followed. */
-    private named = "";
-    /** When hosts failed last. */
-    private readonly failures = new Map<string, number>();
+    private knownControlUrls: readonly string[] = [];
+    private nextUrlIndex = 0;
+    /** Leader URL that another host has named; the host is probed before it is followed. */
+    private suggestedLeaderUrl = "";
+    /** Monotonic time of the last failure of each host, by URL. */
+    private readonly lastFailures = new Map<string, number>();
 
     public constructor(
         private readonly view: FleetView<C>,
         private readonly clients: PeerClients,
-        private readonly options: FollowerOptions,
+        private readonly options: FeedFollowerOptions,
         private readonly log: EventLog,
     ) {}
 
-    /** URL of the leader that answered last; empty where none does. */
+    /** URL of the current leader; empty if unknown. */
     public get leader(): string {
         return this.leaderUrl;
     }
 
-    /** The leader that answered last, with the identity of its leadership. */
+    /** The current leader and its epoch. */
     public get followed(): FollowedLeader {
         return { url: this.leaderUrl, epoch: this.epoch };
     }
 
-    /** URLs of control hosts, as the leader told them last. */
+    /** URLs of control hosts, as last reported by the control group. */
     public get controlUrls(): readonly string[] {
-        return this.remembered;
+        return this.knownControlUrls;
     }
 
     /** Polls until the signal is aborted. */
     public async run(signal: AbortSignal): Promise<void> {
         while (!signal.aborted) {
             const sentAt = steadyNow();
-            const answer = this.leaderUrl === ""
-                ? await this.askSome(signal)
-                : await this.ask(this.leaderUrl, signal, false);
+            const response = this.leaderUrl === ""
+                ? await this.probeHosts(signal)
+                : await this.request(this.leaderUrl, signal, false);
             if (signal.aborted) {
                 return;
             }
-            const found = answer !== undefined && this.take(answer, sentAt);
+            const found = response !== undefined && this.handleResponse(response, sentAt);
             if (!found) {
                 await sleep(retryMs, signal);
             }
         }
     }
 
-    /** The first answer of a few hosts that leads on: one that is down would hold a single question up for long. */
-    private async askSome(signal: AbortSignal): Promise<Answer | undefined> {
-        const asked = this.nextUrls().map(async url => {
-            const answer = await this.ask(url, signal, true);
-            if (answer === undefined || !this.leadsOn(answer)) {
-                throw new Error("leads nowhere");
+    /** Probes several hosts in parallel, so that one that is down delays nothing. Returns the first useful response. */
+    private async probeHosts(signal: AbortSignal): Promise<HostResponse | undefined> {
+        const probes = this.nextUrls().map(async url => {
+            const response = await this.request(url, signal, true);
+            if (response === undefined || !this.locatesLeader(response)) {
+                throw new Error("no leader located");
             }
-            return answer;
+            return response;
         });
-        // That none leads on is an ordinary end: what failed was told where it failed.
-        return Promise.any(asked).catch(() => undefined);
+        // Expected while no leader is known; failures have been recorded by `request`.
+        return Promise.any(probes).catch(() => undefined);
     }
 
-    /** Undefined where the host doesn't answer. */
-    private async ask(url: string, signal: AbortSignal, probe: boolean): Promise<Answer | undefined> {
+    /** Returns undefined if the request fails. */
+    private async request(url: string, signal: AbortSignal, probe: boolean): Promise<HostResponse | undefined> {
         try {
             return { url, res: await (probe ? this.probe(url, signal) : this.poll(url, signal)) };
         }
         catch (err) {
             if (!signal.aborted) {
-                this.noteFailure(url, err);
+                this.recordFailure(url, err);
             }
             return undefined;
         }
     }
 
-    private noteFailure(url: string, err: unknown): void {
-        this.failures.set(url, steadyNow());
+    private recordFailure(url: string, err: unknown): void {
+        this.lastFailures.set(url, steadyNow());
         if (isSilence(err)) {
             this.clients.forget(url);
         }
         if (url === this.leaderUrl) {
-            this.lose(url, messageOf(err));
+            this.forgetLeader(url, messageOf(err));
         }
     }
 
@@ -125,42 +121,43 @@
         return this.clients.client(FleetService, url).poll(req, { timeoutMs: probeTimeoutMs, signal });
     }
 
-    /** Whether an answer is a leader's, or names one that may be there. */
-    private leadsOn({ url, res }: Answer): boolean {
-        return !res.notLeader || (res.leaderUrl !== "" && res.leaderUrl !== url && !this.hasFailed(res.leaderUrl));
+    /** Whether a response comes from the leader, or names another host that has not failed recently. */
+    private locatesLeader({ url, res }: HostResponse): boolean {
+        return !res.notLeader
+            || (res.leaderUrl !== "" && res.leaderUrl !== url && !this.hasFailedRecently(res.leaderUrl));
     }
 
-    private hasFailed(url: string): boolean {
-        return steadyNow() - (this.failures.get(url) ?? Number.NEGATIVE_INFINITY) < failedMs;
+    private hasFailedRecently(url: string): boolean {
+        return steadyNow() - (this.lastFailures.get(url) ?? Number.NEGATIVE_INFINITY) < failureCooldownMs;
     }
 
     private poll(url: string, signal: AbortSignal): Promise<PollResponse> {
-        const known = url === this.leaderUrl && this.epoch !== "";
+        const isResuming = url === this.leaderUrl && this.epoch !== "";
         const req = {
             entry: this.options.entry,
             dataCentre: this.options.dataCentre,
-            epoch: known ? this.epoch : "",
-            position: known ? this.position : 0n,
+            epoch: isResuming ? this.epoch : "",
+            position: isResuming ? this.position : 0n,
             documentVersion: BigInt(this.view.version),
-            quarantinePosition: known ? BigInt(this.view.quarantine.position) : 0n,
+            quarantinePosition: isResuming ? BigInt(this.view.quarantine.position) : 0n,
             waitMs: pollWaitMs,
         };
-        const timeoutMs = known ? pollTimeoutMs : firstTimeoutMs;
+        const timeoutMs = isResuming ? pollTimeoutMs : initialPollTimeoutMs;
         return this.clients.client(FleetService, url).poll(req, { timeoutMs, signal });
     }
 
-    /** Whether the answer leads on. */
-    private take(answer: Answer, sentAt: number): boolean {
-        const { url, res } = answer;
+    /** Returns whether the response locates the leader. */
+    private handleResponse(response: HostResponse, sentAt: number): boolean {
+        const { url, res } = response;
         if (res.controlUrls.length > 0) {
-            this.remembered = res.controlUrls;
+            this.knownControlUrls = res.controlUrls;
         }
         if (res.notLeader) {
-            this.lose(url, "it does not lead");
-            this.named = this.leadsOn(answer) ? res.leaderUrl : "";
-            return this.named !== "";
+            this.forgetLeader(url, "not the leader");
+            this.suggestedLeaderUrl = this.locatesLeader(response) ? res.leaderUrl : "";
+            return this.suggestedLeaderUrl !== "";
         }
-        this.failures.delete(url);
+        this.lastFailures.delete(url);
         if (res.leads) {
             this.leaderUrl = url;
             return true;
@@ -175,7 +172,7 @@
         return true;
     }
 
-    private lose(url: string, reason: string): void {
+    private forgetLeader(url: string, reason: string): void {
         if (url === this.leaderUrl && this.epoch !== "") {
             this.log.warn("control.lost", { leader: url, reason, ageMs: Math.round(this.view.ageMs) });
         }
@@ -184,19 +181,19 @@
         this.position = 0n;
     }
 
-    /** Hosts to ask next, in turn; those that have just failed only where there are no others. */
+    /** Next hosts to probe, round-robin. Hosts that failed recently are used only if there are no others. */
     private nextUrls(): string[] {
-        const all = [...new Set([...this.remembered, ...this.options.seeds()])];
-        const sound = all.filter(url => !this.hasFailed(url));
-        const urls = sound.length > 0 ? sound : all;
-        if (this.named !== "" && !this.hasFailed(this.named)) {
-            const { named } = this;
-            this.named = "";
-            return [named];
+        const all = [...new Set([...this.knownControlUrls, ...this.options.seeds()])];
+        const healthy = all.filter(url => !this.hasFailedRecently(url));
+        const urls = healthy.length > 0 ? healthy : all;
+        if (this.suggestedLeaderUrl !== "" && !this.hasFailedRecently(this.suggestedLeaderUrl)) {
+            const { suggestedLeaderUrl } = this;
+            this.suggestedLeaderUrl = "";
+            return [suggestedLeaderUrl];
         }
-        const count = Math.min(askedAtOnce, urls.length);
-        const chosen = Array.from({ length: count }, (_, index) => urls[(this.nextHost + index) % urls.length]);
-        this.nextHost += count;
+        const count = Math.min(maxParallelProbes, urls.length);
+        const chosen = Array.from({ length: count }, (_, index) => urls[(this.nextUrlIndex + index) % urls.length]);
+        this.nextUrlIndex += count;
         return chosen;
     }
 }
--- a/packages/fleet/src/healths.ts
+++ b/packages/fleet/src/healths.ts
@@ -1,51 +1,50 @@
 /**
- * Which upstreams fail a share of their requests, by what all entries see together. In a
- * large fleet one entry sends an upstream a request in some 16 s, so it would need minutes
- * to notice what all of them notice within a second.
+ * Outlier detection: ejects upstreams that fail far more requests than their peers. Counts of all entries
+ * are combined, since a single entry sends each upstream too few requests to notice.
  */
 import { steadyNow } from "@winchpath/core";
 
-/** Counts halve in this time, in milliseconds: some ten requests at an upstream of 2.5 a second. */
+/** Half-life of the decaying request counts. */
 const halfLifeMs = 4000;
-/** Requests of its peers that an upstream is taken to have had besides its own: one failure alone says little. */
-const priorRequests = 4;
-/** Failures, faded, that it takes to doubt an upstream: two within a second or so. */
-const leastFailures = 1.5;
-/** An upstream that fails less than this share is never doubted. */
-const leastShare = 0.15;
-/** It has to fail so many times as often as its peers: what fails everywhere is no fault of one. */
-const timesPeers = 3;
-/** Requests that all peers together are taken to have had, half of one failed, before there were any. */
-const peersPriorRequests = 10;
-const peersPriorFailures = 0.5;
-/** A doubted upstream is left alone for this long at first, in milliseconds; twice as long each time after. */
-const firstHoldMs = 2000;
-const longestHoldMs = 16_000;
-/** For this long after it was let in again, one failure is enough, in milliseconds. */
+/** Weight, in requests, of the peers' failure rate as a prior in the estimate for one upstream. */
+const priorWeight = 4;
+/** Minimum decayed number of failures for an ejection. */
+const minFailures = 1.5;
+/** Minimum failure rate for an ejection. */
+const minFailureRate = 0.15;
+/** An outlier's failure rate is at least this multiple of its peers' rate. */
+const peerFactor = 3;
+/** Prior counts for the failure rate of the peers. */
+const peerPriorRequests = 10;
+const peerPriorFailures = 0.5;
+/** Duration of the first ejection; doubles with each further one. */
+const baseEjectionMs = 2000;
+const maxEjectionMs = 16_000;
+/** For this long after an ejection ends, half the usual number of failures causes another one. */
 const probationMs = 10_000;
-/** An upstream that was not doubted for this long counts as sound, in milliseconds. */
-const forgiveMs = 30_000;
-/** Share of a service's upstreams that may be doubted at once: the rest would drown. */
-const mostDoubted = 1 / 3;
+/** The ejection count of an upstream resets this long after its last ejection ended. */
+const ejectionResetMs = 30_000;
+/** Maximum share of a service's upstreams that may be ejected at once, so that the others aren't overloaded. */
+const maxEjectedShare = 1 / 3;
 
-/** How requests ended at an upstream, as one process has seen it. */
+/** Outcomes of the requests that one process has sent to an upstream. */
 export interface OutcomeCounts {
     readonly upstream: string;
     readonly served: number;
     readonly failed: number;
 }
 
-interface Health {
-    /** Faded counts, as of `at`. */
+interface UpstreamHealth {
+    /** Counts, decayed to `decayedAt`. */
     served: number;
     failed: number;
-    at: number;
-    /** Steady time until which it is left alone. */
-    doubtedUntil: number;
-    /** Share of requests that it failed when it was doubted. */
-    share: number;
-    /** Times that it was doubted since it counted as sound. */
-    doubts: number;
+    decayedAt: number;
+    /** Monotonic time at which the current or last ejection ends. */
+    ejectedUntil: number;
+    /** Estimated failure rate at the last ejection. */
+    failureRate: number;
+    /** Number of ejections since the last reset. */
+    ejections: number;
 }
 
 interface Totals {
@@ -53,91 +52,97 @@
     readonly failed: number;
 }
 
-export class HealthBook {
-    private readonly healths = new Map<string, Health>();
+export class OutlierDetector {
+    private readonly healths = new Map<string, UpstreamHealth>();
 
-    /** Takes in what a process has seen. */
-    public take(counts: OutcomeCounts): void {
-        const health = this.current(counts.upstream);
+    public record(counts: OutcomeCounts): void {
+        const health = this.getDecayed(counts.upstream);
         health.served += counts.served;
         health.failed += counts.failed;
     }
 
-    /** Forgets an upstream that is gone. */
-    public forget(upstream: string): void {
+    public remove(upstream: string): void {
         this.healths.delete(upstream);
     }
 
     /**
-     * Share of its requests that each of a service's upstreams fails, from 0 to 1: 0 where it
-     * is not doubted.
+     * Ejects outliers among a service's upstreams. Returns the failure rate of each upstream, from 0 to 1;
+     * 0 if it is not ejected.
      */
-    public judge(peers: readonly string[]): ReadonlyMap<string, number> {
-        const healths = new Map(peers.map(id => [id, this.current(id)]));
-        const totals = totalsOf([...healths.values()]);
+    public ejectOutliers(peers: readonly string[]): ReadonlyMap<string, number> {
+        const healths = new Map(peers.map(id => [id, this.getDecayed(id)]));
+        const totals = sumTotals([...healths.values()]);
         const now = steadyNow();
-        let free = Math.floor(peers.length * mostDoubted)
-            - [...healths.values()].filter(health => health.doubtedUntil > now).length;
-        const suspects = [...healths.values()]
-            .filter(health => health.doubtedUntil <= now && isFailing(health, totals))
-            .sort((a, b) => estimate(b, totals) - estimate(a, totals));
-        for (const health of suspects.slice(0, Math.max(0, free))) {
-            doubt(health, estimate(health, totals));
-            free -= 1;
+        let available = Math.floor(peers.length * maxEjectedShare)
+            - [...healths.values()].filter(health => health.ejectedUntil > now).length;
+        const outliers = [...healths.values()]
+            .filter(health => health.ejectedUntil <= now && isOutlier(health, totals))
+            .sort((a, b) => estimateFailureRate(b, totals) - estimateFailureRate(a, totals));
+        for (const health of outliers.slice(0, Math.max(0, available))) {
+            eject(health, estimateFailureRate(health, totals));
+            available -= 1;
         }
-        return new Map([...healths].map(([id, health]) => [id, health.doubtedUntil > now ? health.share : 0]));
+        return new Map([...healths].map(([id, health]) => [id, health.ejectedUntil > now ? health.failureRate : 0]));
     }
 
-    private current(upstream: string): Health {
+    private getDecayed(upstream: string): UpstreamHealth {
         const now = steadyNow();
         let health = this.healths.get(upstream);
         if (health === undefined) {
-            health = { served: 0, failed: 0, at: now, doubtedUntil: Number.NEGATIVE_INFINITY, share: 0, doubts: 0 };
+            health = {
+                served: 0,
+                failed: 0,
+                decayedAt: now,
+                ejectedUntil: Number.NEGATIVE_INFINITY,
+                failureRate: 0,
+                ejections: 0,
+            };
             this.healths.set(upstream, health);
         }
-        const kept = 2 ** (-(now - health.at) / halfLifeMs);
-        health.served *= kept;
-        health.failed *= kept;
-        health.at = now;
-        if (now - health.doubtedUntil > forgiveMs) {
-            health.doubts = 0;
+        const decay = 2 ** (-(now - health.decayedAt) / halfLifeMs);
+        health.served *= decay;
+        health.failed *= decay;
+        health.decayedAt = now;
+        if (now - health.ejectedUntil > ejectionResetMs) {
+            health.ejections = 0;
         }
         return health;
     }
 }
 
-function totalsOf(healths: readonly Health[]): Totals {
+function sumTotals(healths: readonly UpstreamHealth[]): Totals {
     return healths.reduce(
         (sum, { served, failed }) => ({ served: sum.served + served, failed: sum.failed + failed }),
         { served: 0, failed: 0 },
     );
 }
 
-/** Share of requests that the others of a service fail. */
-function peersShare({ served, failed }: Health, totals: Totals): number {
+/** Failure rate of all other upstreams of the service. */
+function peerFailureRate({ served, failed }: UpstreamHealth, totals: Totals): number {
     const others = totals.served + totals.failed - served - failed;
-    return (totals.failed - failed + peersPriorFailures) / (others + peersPriorRequests);
+    return (totals.failed - failed + peerPriorFailures) / (others + peerPriorRequests);
 }
 
-/** Share of requests that an upstream fails: what was seen there, and a little of what its peers do. */
-function estimate(health: Health, totals: Totals): number {
+/** Failure rate of an upstream, smoothed towards the rate of its peers. */
+function estimateFailureRate(health: UpstreamHealth, totals: Totals): number {
     const { served, failed } = health;
-    return (failed + priorRequests * peersShare(health, totals)) / (served + failed + priorRequests);
+    return (failed + priorWeight * peerFailureRate(health, totals)) / (served + failed + priorWeight);
 }
 
-function isFailing(health: Health, totals: Totals): boolean {
-    const onProbation = health.doubts > 0 && steadyNow() - health.doubtedUntil < probationMs;
-    if (health.failed < (onProbation ? leastFailures / 2 : leastFailures)) {
+function isOutlier(health: UpstreamHealth, totals: Totals): boolean {
+    const onProbation = health.ejections > 0 && steadyNow() - health.ejectedUntil < probationMs;
+    if (health.failed < (onProbation ? minFailures / 2 : minFailures)) {
         return false;
     }
-    return estimate(health, totals) >= Math.max(leastShare, timesPeers * peersShare(health, totals));
+    return estimateFailureRate(health, totals)
+        >= Math.max(minFailureRate, peerFactor * peerFailureRate(health, totals));
 }
 
-function doubt(health: Health, share: number): void {
-    health.share = share;
-    health.doubtedUntil = steadyNow() + Math.min(longestHoldMs, firstHoldMs * 2 ** health.doubts);
-    health.doubts += 1;
-    // What it does once it is let in again counts, not what it did before.
+function eject(health: UpstreamHealth, failureRate: number): void {
+    health.failureRate = failureRate;
+    health.ejectedUntil = steadyNow() + Math.min(maxEjectionMs, baseEjectionMs * 2 ** health.ejections);
+    health.ejections += 1;
+    // Only requests after the ejection count towards the next one.
     health.served = 0;
     health.failed = 0;
 }
--- a/packages/fleet/src/healthwatches.ts
+++ b/packages/fleet/src/healthwatches.ts
@@ -1,29 +1,31 @@
-/** The leader's word on which upstreams fail a share of their requests: from entries' reports into the registry. */
+/** Runs outlier detection on the entries' reports, and writes the results to the registry. */
 import { type DemandRequest } from "./gen/winchpath/fleet/v1/fleet_pb.js";
-import { HealthBook } from "./healths.js";
+import { OutlierDetector } from "./healths.js";
 import { type Registry } from "./registries.js";
 
 export class HealthWatch {
-    private readonly book = new HealthBook();
+    private readonly detector = new OutlierDetector();
 
     public constructor(private readonly registry: Registry) {}
 
-    /** Takes in how an entry's requests ended. */
+    /** Records the request outcomes in an entry's report. */
     public take(report: DemandRequest): void {
-        report.outcomes.forEach(counts => this.book.take(counts));
+        report.outcomes.forEach(counts => this.detector.record(counts));
         if (report.outcomes.some(({ failed }) => failed > 0)) {
             this.review();
         }
     }
 
-    /** Judges all upstreams anew; called now and then as well, since a doubt ends with time. */
+    /** Evaluates all upstreams; also called periodically, since ejections expire. */
     public review(): void {
         const services = new Map<string, string[]>();
         for (const { upstream } of this.registry.all()) {
             services.set(upstream.service, [...services.get(upstream.service) ?? [], upstream.id]);
         }
         for (const ids of services.values()) {
-            this.book.judge(ids).forEach((share, id) => this.registry.setFailing(id, Math.round(share * 100)));
+            this.detector.ejectOutliers(ids).forEach((share, id) =>
+                this.registry.setFailing(id, Math.round(share * 100))
+            );
         }
     }
 }
--- a/packages/fleet/src/leavers.ts
+++ b/packages/fleet/src/leavers.ts
@@ -1,36 +1,36 @@
-/** The entry's side of upstreams that leave: which leader has been told of which. */
+/** Tracks which draining upstreams an entry has reported to which leader. */
 import { type AvailabilityBook } from "@winchpath/availability";
 
-/** A leaver is told to new leaders for this long, in milliseconds: it serves for some seconds after its word. */
-const toldMs = 60_000;
+/** Draining upstreams are reported to new leaders for this long. */
+const reportWindowMs = 60_000;
 
 export class ToldLeavers {
-    /** Epoch of the leadership that was told last, by upstream. */
-    private readonly toldTo = new Map<string, string>();
+    /** Epoch of the leadership that each upstream was last reported to. */
+    private readonly reportedEpochs = new Map<string, string>();
 
     public constructor(private readonly availability: Pick<AvailabilityBook, "recentLeavers">) {}
 
-    /** Whether there are any that no leader has been told of. */
+    /** Whether any draining upstream has not been reported to any leader. */
     public get hasNews(): boolean {
-        return this.recent().some(upstream => !this.toldTo.has(upstream));
+        return this.recentlyDraining().some(upstream => !this.reportedEpochs.has(upstream));
     }
 
-    /** Those that a leadership has not been told of: a new one knows nothing of what earlier ones were told. */
+    /** Draining upstreams that have not been reported to this leadership; a new leader needs all of them again. */
     public toTell(epoch: string): string[] {
-        return this.recent().filter(upstream => this.toldTo.get(upstream) !== epoch);
+        return this.recentlyDraining().filter(upstream => this.reportedEpochs.get(upstream) !== epoch);
     }
 
     public told(upstreams: readonly string[], epoch: string): void {
-        upstreams.forEach(upstream => this.toldTo.set(upstream, epoch));
-        const recent = new Set(this.recent());
-        for (const upstream of this.toldTo.keys()) {
+        upstreams.forEach(upstream => this.reportedEpochs.set(upstream, epoch));
+        const recent = new Set(this.recentlyDraining());
+        for (const upstream of this.reportedEpochs.keys()) {
             if (!recent.has(upstream)) {
-                this.toldTo.delete(upstream);
+                this.reportedEpochs.delete(upstream);
             }
         }
     }
 
-    private recent(): string[] {
-        return this.availability.recentLeavers(toldMs);
+    private recentlyDraining(): string[] {
+        return this.availability.recentLeavers(reportWindowMs);
     }
 }
--- a/packages/fleet/src/registries.ts
+++ b/packages/fleet/src/registries.ts
@@ -1,4 +1,4 @@
-/** The upstreams that have announced themselves, as the leader of the control group knows them. */
+/** The control leader's registry of announced upstreams. */
 import { clone, create, equals } from "@bufbuild/protobuf";
 import { LeaverBook } from "@winchpath/availability";
 import { type EventLog, Notifier, steadyNow } from "@winchpath/core";
@@ -12,107 +12,105 @@
     UpstreamState,
 } from "./gen/winchpath/fleet/v1/fleet_pb.js";
 import { EndedIncarnations, type Incarnation, succeeds } from "./incarnations.js";
-import { Strangers } from "./strangers.js";
+import { PendingAnnouncements } from "./strangers.js";
 
 /**
- * After this long without an announcement an upstream is forgotten. Entries
- * find out by themselves that one is down, so this only clears what is left:
- * ten announcements at the usual 1.2 s.
+ * An upstream is removed after this long without an announcement (ten at the default interval of 1.2 s).
+ * Entries detect failures themselves, so this only frees stale records.
  */
-const forgetAfterMs = 12_000;
-/** A doubt about a sender is remembered for this long, in milliseconds. */
-const doubtedMs = 60_000;
-/** An upstream that was heard this lately holds its address, in milliseconds: two announcements at the usual 1.2 s. */
-const doubtMs = 2400;
-/** Announcements that were held up together arrive within this time; a living sender's next one comes later. */
-const heldUpMs = 600;
-/** A process that has just started has sent no more announcements than these. */
-const firstSequences = 2n;
-/** Removals that a poll may be behind before it gets everything anew. */
-const rememberedRemovals = 2000;
-
-/** Reports that an upstream can't be reached count this long, in milliseconds: until its next announcement is due. */
-const unreachableMs = 2500;
-
-/** What the leader knows of one upstream. */
+const expireAfterMs = 12_000;
+/** How long a possibly delayed announcement is remembered. */
+const delayRecordTtlMs = 60_000;
+/** An upstream owns its address until this long after its last announcement (two at the default interval). */
+const addressHeldMs = 2400;
+/** Delayed announcements arrive within this time of each other; a live sender's next one arrives later. */
+const maxDelayMs = 600;
+/** Sequence numbers up to this one come from a process that has just started. */
+const maxInitialSequence = 2n;
+/** Removals kept; a poll from before the oldest one gets a full snapshot. */
+const maxRemovals = 2000;
+
+/** How long a report of an unreachable upstream counts. */
+const unreachableReportTtlMs = 2500;
+
 export interface RegisteredUpstream {
     readonly upstream: Upstream;
-    /** Steady time of the last announcement. */
-    readonly heardAt: number;
-    /** When each process, by name, last failed to reach it; since its last announcement. */
+    /** Monotonic time of the last announcement. */
+    readonly lastAnnouncedAt: number;
+    /** Monotonic time of the last failed connection per reporting process; cleared by an announcement. */
     readonly unreachableFrom: ReadonlyMap<string, number>;
-    /** When it last refused a connection; since its last announcement. */
+    /** Monotonic time at which it last refused a connection; cleared by an announcement. */
     readonly refusedAt: number;
-    /** Models of which its host keeps a copy. */
+    /** Models that its host has cached in memory, and on disk. */
     readonly inMemory: ReadonlySet<string>;
     readonly onDisk: ReadonlySet<string>;
 }
 
-interface Entry extends RegisteredUpstream {
+interface UpstreamRecord extends RegisteredUpstream {
     upstream: Upstream;
-    heardAt: number;
+    lastAnnouncedAt: number;
     unreachableFrom: Map<string, number>;
     refusedAt: number;
     inMemory: ReadonlySet<string>;
     onDisk: ReadonlySet<string>;
     sequence: bigint;
     position: number;
-    /** Whether held models follow from this leader's orders: announcements may have been sent before them. */
+    /** Whether this leader's orders determine the held models; announcements may predate those orders. */
     modelsFromOrders: boolean;
 }
 
-/** What changed after a position. */
+/** The changes after a position. */
 export interface RegistryChanges {
     readonly position: number;
     readonly changed: readonly Upstream[];
     readonly removed: readonly string[];
-    /** Those among `removed` that had said that they leave. */
-    readonly left: readonly string[];
-    /** Whether `changed` is everything there is. */
-    readonly whole: boolean;
+    /** The subset of `removed` that was draining or had deregistered. */
+    readonly departed: readonly string[];
+    /** Whether `changed` contains every upstream. */
+    readonly isSnapshot: boolean;
 }
 
 export class Registry {
     /** Notified after each change. */
     public readonly changed = new Notifier();
-    private readonly upstreams = new Map<string, Entry>();
-    /** Id of the incarnation that is known under a name, or holds an address. */
+    private readonly upstreams = new Map<string, UpstreamRecord>();
+    /** Ids of the current incarnations by name and by address. */
     private readonly idOfName = new Map<string, string>();
     private readonly idAtAddress = new Map<string, string>();
-    private readonly ended = new EndedIncarnations();
+    private readonly endedIncarnations = new EndedIncarnations();
     private readonly changes = new ChangeLog();
-    private readonly strangers: Strangers;
-    /** Outlives leaderships and silences: what an incarnation has said once holds until its end. */
-    private readonly leavers = new LeaverBook();
-    /** When an announcement was first doubted, by the id of its sender. */
-    private readonly doubted = new Map<string, number>();
-    /** Incarnations whose name or address is another's now: they ended, whatever they had said. */
+    private readonly pending: PendingAnnouncements;
+    /** Survives leader changes and expiry: an incarnation that drains never becomes ready again. */
+    private readonly drainingIds = new LeaverBook();
+    /** When a possibly delayed announcement first arrived, by upstream id. */
+    private readonly delayedSince = new Map<string, number>();
+    /** Incarnations that lost their name or address to another one without draining first. */
     private readonly replaced = new Set<string>();
     private removals: { readonly id: string; readonly position: number; }[] = [];
     private removalFloor = 0;
-    private newest = 0;
-    private newestUrgent = 0;
+    private lastPosition = 0;
+    private lastUrgentPosition = 0;
 
-    /** `serves`: whether a service is one of the configuration's. */
-    public constructor(private readonly log: EventLog, private readonly serves = (_service: string) => true) {
-        this.strangers = new Strangers(log);
+    /** `isKnownService`: whether the configuration declares a service. */
+    public constructor(private readonly log: EventLog, private readonly isKnownService = (_service: string) => true) {
+        this.pending = new PendingAnnouncements(log);
     }
 
-    /** Position of the newest change. */
+    /** Position of the latest change. */
     public get position(): number {
-        return this.newest;
+        return this.lastPosition;
     }
 
-    /** Position of the newest change after which requests must not go where they went before. */
+    /** Position of the latest change that requires entries to route requests differently. */
     public get urgentPosition(): number {
-        return this.newestUrgent;
+        return this.lastUrgentPosition;
     }
 
     public get(id: string): RegisteredUpstream | undefined {
         return this.upstreams.get(id);
     }
 
-    /** Whether another incarnation has taken the place of one that never left. */
+    /** Whether another incarnation has taken over the name or address of one that never drained. */
     public wasReplaced(id: string): boolean {
         return this.replaced.has(id);
     }
@@ -121,27 +119,27 @@
         return [...this.upstreams.values()];
     }
 
-    /** Takes in what an upstream tells; gives the position from which on entries know it. */
+    /** Applies an announcement. Returns the position that entries must reach to have seen it. */
     public announce(announcement: Announcement): number {
         const upstream = announcement.upstream!;
-        if (!this.serves(upstream.service)) {
-            this.strangers.put(announcement);
-            return this.newest;
+        if (!this.isKnownService(upstream.service)) {
+            this.pending.add(announcement);
+            return this.lastPosition;
         }
         const known = this.upstreams.get(upstream.id);
-        if (this.isOver(upstream) || (known !== undefined && announcement.sequence <= known.sequence)) {
-            return this.newest;
+        if (this.isSuperseded(upstream) || (known !== undefined && announcement.sequence <= known.sequence)) {
+            return this.lastPosition;
         }
-        if (known === undefined && this.isDoubtful(announcement)) {
+        if (known === undefined && this.mayBeDelayed(announcement)) {
             this.log.info("announcement.doubted", { upstream: upstream.id, address: upstream.address });
-            return this.newest;
+            return this.lastPosition;
         }
-        this.dropEarlier(upstream);
-        this.dropOtherAt(upstream);
-        const entry: Entry = known ?? {
+        this.removePreviousIncarnation(upstream);
+        this.claimAddress(upstream);
+        const record: UpstreamRecord = known ?? {
             upstream,
             sequence: announcement.sequence,
-            heardAt: 0,
+            lastAnnouncedAt: 0,
             unreachableFrom: new Map(),
             refusedAt: Number.NEGATIVE_INFINITY,
             inMemory: new Set(),
@@ -149,318 +147,321 @@
             position: 0,
             modelsFromOrders: false,
         };
-        this.upstreams.set(upstream.id, entry);
+        this.upstreams.set(upstream.id, record);
         this.idOfName.set(upstream.name, upstream.id);
-        entry.sequence = announcement.sequence;
-        this.hear(entry);
-        entry.inMemory = new Set(announcement.inMemory);
-        entry.onDisk = new Set(announcement.onDisk);
-        this.takeIn(entry, upstream, known === undefined);
-        return entry.position;
+        record.sequence = announcement.sequence;
+        this.markHeard(record);
+        record.inMemory = new Set(announcement.inMemory);
+        record.onDisk = new Set(announcement.onDisk);
+        this.applyAnnouncement(record, upstream, known === undefined);
+        return record.position;
     }
 
-    /** An upstream has said again what is known of it; whether it is known. */
+    /** Records an announcement without changes. Returns false if the upstream is unknown. */
     public reaffirm(id: string, sequence: bigint): boolean {
-        const entry = this.upstreams.get(id);
-        if (entry === undefined) {
+        const record = this.upstreams.get(id);
+        if (record === undefined) {
             return false;
         }
-        if (sequence > entry.sequence) {
-            entry.sequence = sequence;
-            this.hear(entry);
+        if (sequence > record.sequence) {
+            record.sequence = sequence;
+            this.markHeard(record);
         }
         return true;
     }
 
-    /** Takes in what was said of services that were not known then; called once the configuration has changed. */
+    /** Applies announcements that were held back for unknown services; called after configuration changes. */
     public meetStrangers(): void {
-        this.strangers.takeAll().forEach(announcement => this.announce(announcement));
+        this.pending.drain().forEach(announcement => this.announce(announcement));
     }
 
     /**
-     * Forgets an upstream that has left; gives the position from which on entries know it. A departure
-     * ends one incarnation and those before it; without a start it is of the one that is known.
+     * Removes an upstream that has deregistered, and its earlier incarnations. A `born` of 0 stands for the
+     * current incarnation. Returns the position that entries must reach to have seen the removal.
      */
     public leave(name: string, born = 0n): number {
-        const known = this.known(name);
-        const left = born === 0n && known !== undefined ? known : { name, born };
-        this.ended.end(left);
-        if (known === undefined || succeeds(known, left)) {
-            return this.newest;
+        const known = this.getByName(name);
+        const departed = born === 0n && known !== undefined ? known : { name, born };
+        this.endedIncarnations.end(departed);
+        if (known === undefined || succeeds(known, departed)) {
+            return this.lastPosition;
         }
-        this.leavers.add(known.id);
+        this.drainingIds.add(known.id);
         return this.remove(known.id, "left");
     }
 
-    /** An answer of an upstream has said that it leaves, whatever it announces. */
+    /** Marks an upstream as draining after one of its responses has said so, whatever it announces. */
     public noteLeaving(id: string, from: string): void {
-        const isNew = this.leavers.add(id);
-        const entry = this.upstreams.get(id);
+        const isNew = this.drainingIds.add(id);
+        const record = this.upstreams.get(id);
         if (isNew) {
             this.log.info("upstream.leaving", { upstream: id, told: "answer", from });
         }
-        if (entry !== undefined && entry.upstream.state !== UpstreamState.DRAINING) {
-            const next = clone(UpstreamSchema, entry.upstream);
+        if (record !== undefined && record.upstream.state !== UpstreamState.DRAINING) {
+            const next = clone(UpstreamSchema, record.upstream);
             next.state = UpstreamState.DRAINING;
-            this.replace(entry, next);
+            this.updateIfChanged(record, next);
         }
     }
 
-    /** Sets what an engine holds, as it was read or as orders have changed it. */
+    /** Sets the models that an engine holds, as read from it or as changed by orders. */
     public setModels(id: string, models: readonly HeldModel[]): void {
-        const entry = this.upstreams.get(id);
-        if (entry === undefined) {
+        const record = this.upstreams.get(id);
+        if (record === undefined) {
             return;
         }
-        entry.modelsFromOrders = true;
-        const next = clone(UpstreamSchema, entry.upstream);
+        record.modelsFromOrders = true;
+        const next = clone(UpstreamSchema, record.upstream);
         next.models = models.map(model => clone(HeldModelSchema, model));
-        this.replace(entry, next);
+        this.updateIfChanged(record, next);
     }
 
-    /** Sets the share of its requests that an upstream fails, in percent. */
+    /** Sets the percentage of requests that an upstream fails. */
     public setFailing(id: string, percent: number): void {
-        const entry = this.upstreams.get(id);
-        if (entry !== undefined && entry.upstream.failingPercent !== percent) {
-            const next = clone(UpstreamSchema, entry.upstream);
+        const record = this.upstreams.get(id);
+        if (record !== undefined && record.upstream.failingPercent !== percent) {
+            const next = clone(UpstreamSchema, record.upstream);
             next.failingPercent = percent;
             this.log.info("upstream.health", { upstream: id, failingPercent: percent });
-            this.touch(entry, next);
+            this.update(record, next);
         }
     }
 
-    /** Sets whether an upstream has named a rate that it takes. */
+    /** Sets whether an upstream has announced a rate limit. */
     public setLimited(id: string, limited: boolean): void {
-        const entry = this.upstreams.get(id);
-        if (entry !== undefined && entry.upstream.limited !== limited) {
-            const next = clone(UpstreamSchema, entry.upstream);
+        const record = this.upstreams.get(id);
+        if (record !== undefined && record.upstream.limited !== limited) {
+            const next = clone(UpstreamSchema, record.upstream);
             next.limited = limited;
-            this.touch(entry, next);
+            this.update(record, next);
         }
     }
 
-    /** A process could not reach an upstream. */
+    /** Records that a process could not reach an upstream. */
     public unreachable(id: string, from: string): void {
-        const entry = this.upstreams.get(id);
-        if (entry !== undefined) {
-            entry.unreachableFrom.set(from, steadyNow());
+        const record = this.upstreams.get(id);
+        if (record !== undefined) {
+            record.unreachableFrom.set(from, steadyNow());
             this.changed.notify();
         }
     }
 
-    /** An upstream has refused a connection: its process is not there, so one report is enough. */
+    /** Records a refused connection. One is enough to suspect an upstream: no process listens at its address. */
     public refused(id: string): void {
-        const entry = this.upstreams.get(id);
-        if (entry !== undefined) {
-            entry.refusedAt = steadyNow();
+        const record = this.upstreams.get(id);
+        if (record !== undefined) {
+            record.refusedAt = steadyNow();
             this.changed.notify();
         }
     }
 
     /**
-     * Whether an upstream seems to be down: it was silent for longer than
-     * `silentMs`, has refused a connection, or is out of reach of `reports` processes.
+     * Whether an upstream is probably down: it has not announced itself for `maxSilenceMs`, has refused
+     * a connection, or can't be reached by at least `minReports` processes.
      */
-    public isSuspect(id: string, silentMs: number, reports: number): boolean {
-        const entry = this.upstreams.get(id);
-        if (entry === undefined) {
+    public isSuspect(id: string, maxSilenceMs: number, minReports: number): boolean {
+        const record = this.upstreams.get(id);
+        if (record === undefined) {
             return true;
         }
         const now = steadyNow();
-        const isFresh = (at: number) => now - at < unreachableMs;
-        const missed = [...entry.unreachableFrom.values()].filter(isFresh).length;
-        return now - entry.heardAt > silentMs || isFresh(entry.refusedAt) || missed >= reports;
+        const isRecent = (at: number) => now - at < unreachableReportTtlMs;
+        const unreachableCount = [...record.unreachableFrom.values()].filter(isRecent).length;
+        return now - record.lastAnnouncedAt > maxSilenceMs || isRecent(record.refusedAt)
+            || unreachableCount >= minReports;
     }
 
-    /** Forgets what was not heard for long. */
+    /** Removes upstreams that have stopped announcing themselves. */
     public expire(): void {
         const now = steadyNow();
-        for (const [id, entry] of this.upstreams) {
-            if (now - entry.heardAt > forgetAfterMs) {
+        for (const [id, record] of this.upstreams) {
+            if (now - record.lastAnnouncedAt > expireAfterMs) {
                 this.remove(id, "silent");
             }
         }
-        this.ended.forgetOld();
-        forgetBefore(this.doubted, now - doubtedMs);
+        this.endedIncarnations.forgetOld();
+        deleteOlderThan(this.delayedSince, now - delayRecordTtlMs);
     }
 
-    /** All that changed after `position`. */
     public since(position: number): RegistryChanges {
-        const whole = position < this.removalFloor;
-        const changed = whole ? [...this.upstreams.values()] : this.changedSince(position);
+        const isSnapshot = position < this.removalFloor;
+        const changed = isSnapshot ? [...this.upstreams.values()] : this.changedSince(position);
         const removed = this.removals.filter(removal => removal.position > position).map(removal => removal.id);
-        const left = removed.filter(id => this.leavers.has(id));
-        return { position: this.newest, changed: changed.map(entry => entry.upstream), removed, left, whole };
+        const departed = removed.filter(id => this.drainingIds.has(id));
+        return {
+            position: this.lastPosition,
+            changed: changed.map(record => record.upstream),
+            removed,
+            departed,
+            isSnapshot,
+        };
     }
 
-    /** Forgets everything, at the start of a leadership: what was known may be old. */
+    /** Clears the registry at the start of a leadership, since its content may be stale. */
     public clear(): void {
         this.upstreams.clear();
         this.idOfName.clear();
         this.idAtAddress.clear();
-        this.ended.clear();
-        this.changes.clear(this.newest);
-        this.strangers.clear();
-        this.doubted.clear();
+        this.endedIncarnations.clear();
+        this.changes.clear(this.lastPosition);
+        this.pending.clear();
+        this.delayedSince.clear();
         this.replaced.clear();
         this.removals = [];
         this.removalFloor = 0;
     }
 
-    private hear(entry: Entry): void {
-        entry.heardAt = steadyNow();
-        entry.unreachableFrom.clear();
-        entry.refusedAt = Number.NEGATIVE_INFINITY;
+    private markHeard(record: UpstreamRecord): void {
+        record.lastAnnouncedAt = steadyNow();
+        record.unreachableFrom.clear();
+        record.refusedAt = Number.NEGATIVE_INFINITY;
     }
 
-    private changedSince(position: number): Entry[] {
+    private changedSince(position: number): UpstreamRecord[] {
         const ids = this.changes.since(position);
         return ids === undefined
-            ? [...this.upstreams.values()].filter(entry => entry.position > position)
-            : ids.map(id => this.upstreams.get(id)).filter(entry => entry !== undefined);
+            ? [...this.upstreams.values()].filter(record => record.position > position)
+            : ids.map(id => this.upstreams.get(id)).filter(record => record !== undefined);
     }
 
-    /** The incarnation that is known under a name. */
-    private known(name: string): Upstream | undefined {
+    private getByName(name: string): Upstream | undefined {
         const id = this.idOfName.get(name);
         return id === undefined ? undefined : this.upstreams.get(id)?.upstream;
     }
 
-    /** Whether an incarnation has ended, or a later one of its name is known: what it says comes late. */
-    private isOver(incarnation: Incarnation): boolean {
-        const known = this.known(incarnation.name);
-        return this.ended.has(incarnation) || (known !== undefined && succeeds(known, incarnation));
+    /** Whether an incarnation has ended, or a later one of the same name is known. */
+    private isSuperseded(incarnation: Incarnation): boolean {
+        const known = this.getByName(incarnation.name);
+        return this.endedIncarnations.has(incarnation) || (known !== undefined && succeeds(known, incarnation));
     }
 
-    private takeIn(entry: Entry, told: Upstream, isNew: boolean): void {
-        const next = clone(UpstreamSchema, told);
+    private applyAnnouncement(record: UpstreamRecord, announced: Upstream, isNew: boolean): void {
+        const next = clone(UpstreamSchema, announced);
         if (next.state === UpstreamState.DRAINING) {
-            this.leavers.add(next.id);
+            this.drainingIds.add(next.id);
         }
-        else if (this.leavers.has(next.id)) {
-            // An announcement that says otherwise was sent before, or by an upstream that says so in its answers only.
+        else if (this.drainingIds.has(next.id)) {
+            // The announcement is stale, or the upstream reports draining in its responses only.
             next.state = UpstreamState.DRAINING;
         }
         if (!isNew) {
-            if (entry.modelsFromOrders) {
-                next.models = entry.upstream.models;
+            if (record.modelsFromOrders) {
+                next.models = record.upstream.models;
             }
-            next.failingPercent = entry.upstream.failingPercent;
-            next.limited = entry.upstream.limited;
+            next.failingPercent = record.upstream.failingPercent;
+            next.limited = record.upstream.limited;
         }
         if (isNew) {
             this.log.info("upstream.learnt", {
-                ...describe(next),
-                inMemory: [...entry.inMemory],
-                onDisk: [...entry.onDisk],
+                ...logFields(next),
+                inMemory: [...record.inMemory],
+                onDisk: [...record.onDisk],
             });
-            this.touch(entry, next);
+            this.update(record, next);
             return;
         }
-        this.replace(entry, next);
+        this.updateIfChanged(record, next);
     }
 
-    private replace(entry: Entry, next: Upstream): void {
-        if (equals(UpstreamSchema, entry.upstream, next)) {
+    private updateIfChanged(record: UpstreamRecord, next: Upstream): void {
+        if (equals(UpstreamSchema, record.upstream, next)) {
             return;
         }
-        if (entry.upstream.state !== next.state) {
-            this.log.info("upstream.state", describe(next));
+        if (record.upstream.state !== next.state) {
+            this.log.info("upstream.state", logFields(next));
         }
-        this.touch(entry, next);
+        this.update(record, next);
     }
 
-    private touch(entry: Entry, next: Upstream): void {
-        const takesLess = stopsTaking(entry.upstream, next);
-        entry.upstream = next;
-        this.newest += 1;
-        entry.position = this.newest;
-        this.changes.add(next.id, this.newest);
-        if (takesLess) {
-            this.newestUrgent = this.newest;
+    private update(record: UpstreamRecord, next: Upstream): void {
+        const isUrgent = reducesTraffic(record.upstream, next);
+        record.upstream = next;
+        this.lastPosition += 1;
+        record.position = this.lastPosition;
+        this.changes.add(next.id, this.lastPosition);
+        if (isUrgent) {
+            this.lastUrgentPosition = this.lastPosition;
         }
         this.changed.notify();
     }
 
     /**
-     * Whether an announcement may come from a process that has crashed, and was held up on its way: its
-     * sender has announced itself before, never here, and another upstream was heard at its address just now,
-     * or an upstream of its name has left.
-     * A sender that lives announces itself again.
+     * Whether an announcement may be a delayed one of a crashed process: its sender is unknown here but isn't
+     * new, and its address belongs to another live upstream or an incarnation of its name has ended.
+     * A live sender is accepted with a later announcement.
      */
-    private isDoubtful(announcement: Announcement): boolean {
+    private mayBeDelayed(announcement: Announcement): boolean {
         const { id, address } = announcement.upstream!;
         const now = steadyNow();
         const holder = this.upstreams.get(this.idAtAddress.get(address) ?? "");
-        const isHeld = holder !== undefined && now - holder.heardAt < doubtMs
+        const isAddressHeld = holder !== undefined && now - holder.lastAnnouncedAt < addressHeldMs
             && !succeeds(announcement.upstream!, holder.upstream);
-        const mayBeOver = isHeld || this.ended.hasAny(announcement.upstream!.name);
-        if (!mayBeOver || announcement.sequence <= firstSequences) {
+        const mayHaveEnded = isAddressHeld || this.endedIncarnations.hasAny(announcement.upstream!.name);
+        if (!mayHaveEnded || announcement.sequence <= maxInitialSequence) {
             return false;
         }
-        const since = this.doubted.get(id) ?? now;
-        this.doubted.set(id, since);
-        return now - since < heldUpMs;
+        const since = this.delayedSince.get(id) ?? now;
+        this.delayedSince.set(id, since);
+        return now - since < maxDelayMs;
     }
 
-    /** An upstream that has started anew: its earlier run is over. */
-    private dropEarlier(upstream: Upstream): void {
-        const known = this.known(upstream.name);
+    private removePreviousIncarnation(upstream: Upstream): void {
+        const known = this.getByName(upstream.name);
         if (known !== undefined && known.id !== upstream.id) {
-            this.ended.end(known);
-            this.noteReplaced(known);
-            this.remove(known.id, "it has started anew");
+            this.endedIncarnations.end(known);
+            this.markReplaced(known);
+            this.remove(known.id, "replaced by a restart");
         }
     }
 
-    /** An address belongs to the upstream that announced it last; the one before it never comes back. */
-    private dropOtherAt({ id, address }: Upstream): void {
+    /** Assigns an address to the upstream that announced it last, and ends its previous owner. */
+    private claimAddress({ id, address }: Upstream): void {
         const other = this.upstreams.get(this.idAtAddress.get(address) ?? "");
         if (other !== undefined && other.upstream.id !== id && other.upstream.address === address) {
-            this.ended.end(other.upstream);
-            this.noteReplaced(other.upstream);
-            this.remove(other.upstream.id, "its address is another upstream's now");
+            this.endedIncarnations.end(other.upstream);
+            this.markReplaced(other.upstream);
+            this.remove(other.upstream.id, "address taken by another upstream");
         }
         this.idAtAddress.set(address, id);
     }
 
-    private noteReplaced({ id, state }: Upstream): void {
+    private markReplaced({ id, state }: Upstream): void {
         if (state === UpstreamState.DRAINING) {
             return;
         }
         this.replaced.add(id);
         const [oldest] = this.replaced;
-        if (this.replaced.size > rememberedRemovals) {
+        if (this.replaced.size > maxRemovals) {
             this.replaced.delete(oldest);
         }
     }
 
     private remove(id: string, reason: string): number {
-        const entry = this.upstreams.get(id);
-        if (entry !== undefined) {
+        const record = this.upstreams.get(id);
+        if (record !== undefined) {
             this.upstreams.delete(id);
-            forgetIfOwn(this.idOfName, entry.upstream.name, id);
-            forgetIfOwn(this.idAtAddress, entry.upstream.address, id);
+            deleteIfOwned(this.idOfName, record.upstream.name, id);
+            deleteIfOwned(this.idAtAddress, record.upstream.address, id);
             this.log.info("upstream.gone", { upstream: id, reason });
         }
-        this.newest += 1;
-        this.newestUrgent = this.newest;
-        this.removals.push({ id, position: this.newest });
-        while (this.removals.length > rememberedRemovals) {
+        this.lastPosition += 1;
+        this.lastUrgentPosition = this.lastPosition;
+        this.removals.push({ id, position: this.lastPosition });
+        while (this.removals.length > maxRemovals) {
             this.removalFloor = this.removals.shift()!.position;
         }
         this.changed.notify();
-        return this.newest;
+        return this.lastPosition;
     }
 }
 
-function forgetIfOwn(ids: Map<string, string>, key: string, id: string): void {
+function deleteIfOwned(ids: Map<string, string>, key: string, id: string): void {
     if (ids.get(key) === id) {
         ids.delete(key);
     }
 }
 
-function forgetBefore(times: Map<string, number>, limit: number): void {
+function deleteOlderThan(times: Map<string, number>, limit: number): void {
     for (const [id, at] of times) {
         if (at < limit) {
             times.delete(id);
@@ -468,8 +469,8 @@
     }
 }
 
-/** Whether an upstream takes no or fewer requests, none for a model that it is about to give up, or fails them. */
-function stopsTaking(before: Upstream, now: Upstream): boolean {
+/** Whether a change means that an upstream, or one of its models, must get fewer requests. */
+function reducesTraffic(before: Upstream, now: Upstream): boolean {
     if (now.failingPercent > before.failingPercent || (now.limited && !before.limited)) {
         return true;
     }
@@ -478,7 +479,7 @@
     return drains || now.models.some(model => model.leaving && !wasLeaving(model.name));
 }
 
-function describe(upstream: Upstream) {
+function logFields(upstream: Upstream) {
     return {
         upstream: upstream.id,
         service: upstream.service,
@@ -489,7 +490,7 @@
     };
 }
 
-/** A model without adapters that is ready in so many milliseconds. */
+/** Creates a model without adapters that is ready in `readyInMs`. */
 export function heldModel(name: string, readyInMs: number): HeldModel {
     return create(HeldModelSchema, { name, readyInMs: Math.round(readyInMs) });
 }
--- a/packages/fleet/src/services.ts
+++ b/packages/fleet/src/services.ts
@@ -1,4 +1,4 @@
-/** The RPCs of the leader that entries and other control hosts call. */
+/** Implements the fleet service, which entries and other control hosts call. */
 import { Code, ConnectError, type ServiceImpl } from "@connectrpc/connect";
 import { type Allowance, type LimitBook } from "@winchpath/accounts";
 import { type RateLedger } from "@winchpath/availability";
@@ -10,55 +10,55 @@
 import { type OrderLease } from "./orderleases.js";
 import { decodeRate } from "./upstreamrates.js";
 
-export interface FleetServiceParts {
+export interface FleetServiceDependencies {
     readonly feed: Pick<Feed, "poll" | "liveEntries">;
     readonly desk: AnnouncementDesk;
     readonly demand: Pick<DemandBook, "take">;
     readonly lease: Pick<OrderLease, "yieldTo">;
     readonly leads: () => boolean;
-    /** Called after demand was taken in. */
+    /** Called after a demand report has been recorded. */
     readonly demanded: (report: DemandRequest) => void;
-    /** Takes in what an entry has counted of accounts. */
+    /** Receives usage counts of client accounts. */
     readonly limits: Pick<LimitBook, "take">;
-    /** Takes in what an entry knows of upstreams' rates. */
+    /** Receives upstream rate limits known to entries. */
     readonly rates: Pick<RateLedger, "take">;
-    /** Of the present leadership. */
+    /** The crash watch of the current leadership; undefined if this host is not the leader. */
     readonly crashes: () => Pick<CrashWatch, "take"> | undefined;
 }
 
-export function fleetService(parts: FleetServiceParts): ServiceImpl<typeof FleetService> {
+export function fleetService(deps: FleetServiceDependencies): ServiceImpl<typeof FleetService> {
     const checkLeads = () => {
-        if (!parts.leads()) {
+        if (!deps.leads()) {
             throw new ConnectError("not the leader", Code.FailedPrecondition);
         }
     };
     return {
-        poll: req => parts.feed.poll(req),
+        poll: req => deps.feed.poll(req),
         announce: async req => {
             checkLeads();
             if (req.announcement?.upstream === undefined) {
-                throw new ConnectError("an announcement of nobody", Code.InvalidArgument);
+                throw new ConnectError("the announcement has no upstream", Code.InvalidArgument);
             }
-            await parts.desk.announceHere(req.announcement);
+            await deps.desk.announceLocally(req.announcement);
             return {};
         },
         reaffirm: req => {
             checkLeads();
-            return { unknown: parts.desk.reaffirmHere(req.upstreams) };
+            return { unknown: deps.desk.reaffirmLocally(req.upstreams) };
         },
         leave: async req => {
             checkLeads();
-            await parts.desk.leaveHere(req);
+            await deps.desk.leaveLocally(req);
             return {};
         },
         reportDemand: req => {
             checkLeads();
-            parts.demand.take(req);
-            parts.demanded(req);
-            return { allowances: allowancesOf(parts, req), permits: permitsOf(parts, req) };
+            deps.demand.take(req);
+            deps.demanded(req);
+            return { allowances: grantAllowances(deps, req), permits: grantPermits(deps, req) };
         },
         reportCrashes: req => {
-            const crashes = parts.crashes();
+            const crashes = deps.crashes();
             if (crashes === undefined) {
                 throw new ConnectError("not the leader", Code.FailedPrecondition);
             }
@@ -66,13 +66,13 @@
             return {};
         },
         yieldOrders: req => {
-            const { gave, ageMs } = parts.lease.yieldTo(Number(req.token));
+            const { gave, ageMs } = deps.lease.yieldTo(Number(req.token));
             return { gave, lastOrderAgeMs: Math.round(ageMs) };
         },
     };
 }
 
-function permitsOf({ rates }: FleetServiceParts, req: DemandRequest) {
+function grantPermits({ rates }: FleetServiceDependencies, req: DemandRequest) {
     return rates.take(req.entry, req.rates.map(decodeRate)).map(grant => ({
         ...grant,
         lifeMs: Math.round(grant.lifeMs),
@@ -80,7 +80,7 @@
     }));
 }
 
-function allowancesOf(parts: FleetServiceParts, { entry, process, accounts }: DemandRequest) {
+function grantAllowances(deps: FleetServiceDependencies, { entry, process, accounts }: DemandRequest) {
     const counts = accounts.map(({ account, used, asked, credit, waiting, held }) => ({
         account,
         held,
@@ -89,11 +89,11 @@
         credit: Number(credit),
         waiting: Number(waiting),
     }));
-    const allowances = parts.limits.take({
+    const allowances = deps.limits.take({
         entry,
         process: Number(process),
         counts,
-        entries: Math.max(1, parts.feed.liveEntries),
+        entries: Math.max(1, deps.feed.liveEntries),
     });
     return allowances.map(encodeAllowance);
 }
--- a/packages/fleet/src/strangers.ts
+++ b/packages/fleet/src/strangers.ts
@@ -1,37 +1,37 @@
 /**
- * Announcements for services that the configuration doesn't name. They take nobody's place; one whose
- * service is declared later is taken in then, without a wait for the next announcement.
+ * Announcements for services that the configuration doesn't declare. They are kept outside the registry, and
+ * applied as soon as the service is declared.
  */
 import { type EventLog } from "@winchpath/core";
 import { type Announcement } from "./gen/winchpath/fleet/v1/fleet_pb.js";
 
-/** Announcements that are kept, the newest of each sender: a service's upstreams come with it, not thousands of others. */
-const mostKept = 512;
+/** Maximum number of upstreams whose latest announcement is kept. */
+const maxPending = 512;
 
-export class Strangers {
+export class PendingAnnouncements {
     private readonly byId = new Map<string, Announcement>();
 
     public constructor(private readonly log: EventLog) {}
 
-    public put(announcement: Announcement): void {
+    public add(announcement: Announcement): void {
         const { id, service } = announcement.upstream!;
         if (this.byId.has(id)) {
             this.byId.delete(id);
         }
-        else if (this.byId.size < mostKept) {
+        else if (this.byId.size < maxPending) {
             this.log.info("announcement.of-unknown-service", { upstream: id, service });
         }
         this.byId.set(id, announcement);
         for (const oldest of this.byId.keys()) {
-            if (this.byId.size <= mostKept) {
+            if (this.byId.size <= maxPending) {
                 return;
             }
             this.byId.delete(oldest);
         }
     }
 
-    /** Gives what is kept, and keeps it no more. */
-    public takeAll(): Announcement[] {
+    /** Removes and returns all kept announcements. */
+    public drain(): Announcement[] {
         const all = [...this.byId.values()];
         this.byId.clear();
         return all;
--- a/packages/fleet/src/tests/crashreports.test.ts
+++ b/packages/fleet/src/tests/crashreports.test.ts
@@ -9,7 +9,7 @@
     readonly endedWell: string[];
 }
 
-class Entry {
+class TestEntry {
     public readonly reports: Report[] = [];
     public probes = 0;
     public refuses = true;
@@ -18,7 +18,7 @@
         this.probes += 1;
         return this.refuses;
     }, silentLog);
-    private readonly ended = new AbortController();
+    private readonly controller = new AbortController();
 
     public constructor(private readonly t: TestContext) {
         t.mock.timers.enable({ apis: ["setTimeout", "Date"], now: 1_000_000 });
@@ -31,10 +31,10 @@
         };
         const client = (() => ({ reportCrashes })) as unknown as PeerClients["client"];
         const clients = { client, forget: () => undefined };
-        void this.reporter.run("e", clients, () => ({ url: "http://leader", epoch: "1" }), this.ended.signal);
+        void this.reporter.run("e", clients, () => ({ url: "http://leader", epoch: "1" }), this.controller.signal);
     }
 
-    public lose(upstream: string, fingerprint: string): void {
+    public loseConnection(upstream: string, fingerprint: string): void {
         this.reporter.lost({ id: upstream, address: `${upstream}:1` }, {
             fingerprint,
             size: 1,
@@ -42,65 +42,65 @@
         });
     }
 
-    public async pass(ms: number): Promise<void> {
+    public async advance(ms: number): Promise<void> {
         const stepMs = 5;
-        for (let passed = 0; passed < ms; passed += stepMs) {
+        for (let elapsed = 0; elapsed < ms; elapsed += stepMs) {
             this.t.mock.timers.tick(stepMs);
             await new Promise(resolve => setImmediate(resolve));
         }
     }
 
-    public end(): void {
-        this.ended.abort();
+    public stop(): void {
+        this.controller.abort();
     }
 }
 
-describe("what an entry tells of upstreams that seem to have ended", () => {
-    it("goes out within 50 ms, all that ran there together, after one probe of the address", async t => {
-        const entry = new Entry(t);
-        await entry.pass(50);
-        entry.lose("u", "a");
-        entry.lose("u", "b");
-        await entry.pass(50);
+describe("CrashReporter", () => {
+    it("reports all requests of a crash together within 50 ms, after one probe of the address", async t => {
+        const entry = new TestEntry(t);
+        await entry.advance(50);
+        entry.loseConnection("u", "a");
+        entry.loseConnection("u", "b");
+        await entry.advance(50);
         const [{ upstream, refused, suspects }] = entry.reports[0].sights;
         expect([upstream, refused, suspects.map(({ fingerprint }) => fingerprint), entry.probes]).toEqual(
             ["u", true, ["a", "b"], 1],
         );
-        entry.end();
+        entry.stop();
     });
 
-    it("is told again until a leader has taken it, with its age, and given up after ten seconds", async t => {
-        const entry = new Entry(t);
+    it("repeats a report with its age until a leader accepts it, for at most ten seconds", async t => {
+        const entry = new TestEntry(t);
         entry.leaderAnswers = false;
-        entry.lose("u", "a");
-        await entry.pass(2000);
+        entry.loseConnection("u", "a");
+        await entry.advance(2000);
         entry.leaderAnswers = true;
-        await entry.pass(300);
+        await entry.advance(300);
         expect(entry.reports.length).toEqual(1);
         expect(entry.reports[0].sights[0].agoMs).toBeGreaterThan(1900);
         entry.leaderAnswers = false;
-        entry.lose("u2", "b");
-        await entry.pass(11_000);
+        entry.loseConnection("u2", "b");
+        await entry.advance(11_000);
         entry.leaderAnswers = true;
-        await entry.pass(300);
+        await entry.advance(300);
         expect(entry.reports.length).toEqual(1);
-        entry.end();
+        entry.stop();
     });
 
-    it("says so where the address takes connections: the upstream may live", async t => {
-        const entry = new Entry(t);
+    it("reports whether the address accepts connections, since the upstream may be alive", async t => {
+        const entry = new TestEntry(t);
         entry.refuses = false;
-        entry.lose("u", "a");
-        await entry.pass(100);
+        entry.loseConnection("u", "a");
+        await entry.advance(100);
         expect(entry.reports[0].sights[0].refused).toEqual(false);
-        entry.end();
+        entry.stop();
     });
 
-    it("names listed requests that came to a good end", async t => {
-        const entry = new Entry(t);
+    it("reports quarantined requests that completed normally", async t => {
+        const entry = new TestEntry(t);
         entry.reporter.succeeded("a");
-        await entry.pass(100);
+        await entry.advance(100);
         expect(entry.reports[0].endedWell).toEqual(["a"]);
-        entry.end();
+        entry.stop();
     });
 });
--- a/packages/fleet/src/tests/feeds.test.ts
+++ b/packages/fleet/src/tests/feeds.test.ts
@@ -16,10 +16,10 @@
     public document: FeedControl["document"];
     public readonly quarantine = new CrashBook();
     public barriers = 0;
-    public readonly awaited = new Set<string>();
+    public readonly awaitedNames = new Set<string>();
 
     public awaitedAt(): ReadonlySet<string> {
-        return this.awaited;
+        return this.awaitedNames;
     }
 
     public async barrier(): Promise<void> {
@@ -49,8 +49,8 @@
     return { control, registry, feed, view, poll };
 }
 
-describe("the feed of a leader", () => {
-    it("gives everything at first, after a read through a majority, and then what changes", async () => {
+describe("Feed", () => {
+    it("sends a snapshot after a read barrier, and then only changes", async () => {
         const { control, registry, view, poll } = setUp();
         registry.announce(announcement("u1", 1));
         control.document = { version: 3, text: "three" };
@@ -62,7 +62,7 @@
         expect(res.documentText).toEqual("");
     });
 
-    it("answers a poll that waits as soon as something changes", async () => {
+    it("answers a waiting poll as soon as something changes", async () => {
         const { registry, feed, view, poll } = setUp();
         await poll();
         const waiting = poll(60_000);
@@ -72,13 +72,13 @@
         expect(view.upstreams().length).toEqual(1);
     });
 
-    it("tells that an upstream drains only once entries have confirmed it", async () => {
+    it("resolves a drain only once entries have confirmed it", async () => {
         const { registry, feed, view, poll } = setUp();
         registry.announce(announcement("u1", 1));
         await poll();
         const position = registry.announce(announcement("u1", 2, { state: UpstreamState.DRAINING }));
         let spread = false;
-        const spreading = feed.spread(position, 60_000).then(() => {
+        const spreading = feed.awaitConfirmation(position, 60_000).then(() => {
             spread = true;
         });
         await poll();
@@ -88,7 +88,7 @@
         expect(spread).toEqual(true);
     });
 
-    it("names another leader where this one leads no more", async () => {
+    it("names the new leader after losing the leadership", async () => {
         const { control, poll } = setUp();
         control.epoch = undefined;
         const res = await poll();
@@ -96,8 +96,8 @@
     });
 });
 
-describe("the view of an entry", () => {
-    it("never goes back to an older document", async () => {
+describe("FleetView", () => {
+    it("never returns to an older document", async () => {
         const { control, view, poll } = setUp();
         control.document = { version: 5, text: "five" };
         await poll();
@@ -107,7 +107,7 @@
         expect(view.version).toEqual(5);
     });
 
-    it("keeps an upstream draining whatever a new leader has heard", async () => {
+    it("keeps an upstream draining whatever a new leader sends", async () => {
         const { control, registry, view, poll } = setUp();
         registry.announce(announcement("u1", 1, { state: UpstreamState.DRAINING }));
         await poll();
@@ -118,7 +118,7 @@
         expect(view.get("u1")!.state).toEqual(UpstreamState.DRAINING);
     });
 
-    it("keeps what an earlier leader knew until the new one has had time to hear of all", async () => {
+    it("keeps upstreams of an earlier leader until the new one is complete", async () => {
         const { control, registry, view, poll } = setUp();
         registry.announce(announcement("u1", 1));
         await poll();
@@ -132,8 +132,8 @@
     });
 });
 
-describe("the registry", () => {
-    it("passes over announcements that come late", () => {
+describe("Registry", () => {
+    it("ignores late announcements", () => {
         const registry = new Registry(silentLog);
         registry.announce(announcement("u1", 5, { state: UpstreamState.DRAINING }));
         registry.announce(announcement("u1", 4));
@@ -143,14 +143,14 @@
         expect(registry.get("u1")).toEqual(undefined);
     });
 
-    it("gives an address to the upstream that announced it last", () => {
+    it("assigns an address to the upstream that announced it last", () => {
         const registry = new Registry(silentLog);
         registry.announce(announcement("u1", 1, { address: "10.0.0.1:1" }));
         registry.announce(announcement("u2", 1, { address: "10.0.0.1:1", service: "other" }));
         expect(registry.all().map(({ upstream }) => upstream.id)).toEqual(["u2"]);
     });
 
-    it("takes what an engine holds from orders, once there were any, and not from announcements", () => {
+    it("takes held models from orders instead of announcements, once there were any", () => {
         const registry = new Registry(silentLog);
         registry.announce(announcement("u1", 1));
         registry.setModels("u1", []);
@@ -167,8 +167,8 @@
     });
 });
 
-describe("what the feed tells many entries of", () => {
-    it("is encoded once for all of them", async () => {
+describe("an upstream that the feed sends to many entries", () => {
+    it("is encoded once", async () => {
         const { registry, feed } = setUp();
         for (let number = 0; number < 50; number++) {
             registry.announce(announcement(`u${number}`, 1, { address: `10.0.0.1:${number + 1}` }));
--- a/packages/fleet/src/tests/followers.test.ts
+++ b/packages/fleet/src/tests/followers.test.ts
@@ -8,14 +8,14 @@
 
 const hosts = ["http://a", "http://b", "http://c", "http://d", "http://e"];
 
-/** Hosts that answer, point to another, or hang until the caller gives up. */
-class TestGroup {
+/** Control hosts that lead, name the leader, or hang until the caller times out. */
+class TestControlGroup {
     public leader = "http://a";
-    public readonly dark = new Set<string>();
-    public asked = 0;
-    /** Times that the leader has told all it knows, and how long that takes. */
-    public wholeAnswers = 0;
-    public wholeMs = 5;
+    public readonly unresponsive = new Set<string>();
+    public requests = 0;
+    /** Number and duration of the leader's responses to polls. */
+    public fullResponses = 0;
+    public fullResponseMs = 5;
 
     public clients(): PeerClients {
         const open = (_service: unknown, url: string) => ({
@@ -26,12 +26,12 @@
     }
 
     private async poll(url: string, timeoutMs: number, probe: boolean): Promise<PollResponse> {
-        this.asked += 1;
-        const whole = url === this.leader && !probe;
-        this.wholeAnswers += whole ? 1 : 0;
-        const answerMs = this.dark.has(url) ? timeoutMs : whole ? this.wholeMs : 5;
+        this.requests += 1;
+        const isFull = url === this.leader && !probe;
+        this.fullResponses += isFull ? 1 : 0;
+        const answerMs = this.unresponsive.has(url) ? timeoutMs : isFull ? this.fullResponseMs : 5;
         await new Promise(resolve => setTimeout(resolve, answerMs));
-        if (this.dark.has(url)) {
+        if (this.unresponsive.has(url)) {
             throw new Error("silent");
         }
         if (answerMs >= timeoutMs) {
@@ -46,58 +46,58 @@
     }
 }
 
-describe("an entry that follows the leader", () => {
-    async function pass(t: { mock: { timers: { tick(ms: number): void; }; }; }, ms: number): Promise<void> {
-        for (let passed = 0; passed < ms; passed += 5) {
+describe("FeedFollower", () => {
+    async function advance(t: { mock: { timers: { tick(ms: number): void; }; }; }, ms: number): Promise<void> {
+        for (let elapsed = 0; elapsed < ms; elapsed += 5) {
             t.mock.timers.tick(5);
             await new Promise(resolve => setImmediate(resolve));
         }
     }
 
-    it("finds the next one soon after it fell silent, whoever else is dark or still names it", async t => {
+    it("finds the next leader although other hosts hang or still name the failed one", async t => {
         t.mock.timers.enable({ apis: ["Date", "setTimeout"], now: 1_000_000 });
-        const group = new TestGroup();
+        const group = new TestControlGroup();
         const view = new FleetView(() => ({}), silentLog);
         const options = { entry: "x", dataCentre: "d", seeds: () => hosts.slice(0, 3) };
         const follower = new FeedFollower(view, group.clients(), options, silentLog);
         const end = new AbortController();
         void follower.run(end.signal);
-        await pass(t, 500);
+        await advance(t, 500);
         expect(follower.leader).toEqual("http://a");
-        group.dark.add("http://a");
-        group.dark.add("http://b");
-        await pass(t, 1200);
+        group.unresponsive.add("http://a");
+        group.unresponsive.add("http://b");
+        await advance(t, 1200);
         group.leader = "http://e";
-        await pass(t, 1000);
+        await advance(t, 1000);
         expect(follower.leader).toEqual("http://e");
         end.abort();
     });
 
-    it("gives a leader that is busy with all of them the time to tell it everything, and asks once", async t => {
+    it("gives a busy leader time to send the first snapshot, without repeated polls", async t => {
         t.mock.timers.enable({ apis: ["Date", "setTimeout"], now: 1_000_000 });
-        const group = new TestGroup();
-        group.wholeMs = 1400;
-        group.dark.add("http://b");
+        const group = new TestControlGroup();
+        group.fullResponseMs = 1400;
+        group.unresponsive.add("http://b");
         const view = new FleetView(() => ({}), silentLog);
         const options = { entry: "x", dataCentre: "d", seeds: () => hosts.slice(0, 3) };
         const follower = new FeedFollower(view, group.clients(), options, silentLog);
         const end = new AbortController();
         void follower.run(end.signal);
-        await pass(t, 1500);
-        expect([follower.followed.epoch, group.wholeAnswers <= 2]).toEqual(["http://a", true]);
+        await advance(t, 1500);
+        expect([follower.followed.epoch, group.fullResponses <= 2]).toEqual(["http://a", true]);
         end.abort();
     });
 
-    it("asks no faster than twenty rounds a second while nobody leads", async t => {
+    it("probes hosts in at most twenty rounds a second while there is no leader", async t => {
         t.mock.timers.enable({ apis: ["Date", "setTimeout"], now: 1_000_000 });
-        const group = new TestGroup();
+        const group = new TestControlGroup();
         group.leader = "";
         const options = { entry: "x", dataCentre: "d", seeds: () => hosts.slice(0, 3) };
         const follower = new FeedFollower(new FleetView(() => ({}), silentLog), group.clients(), options, silentLog);
         const end = new AbortController();
         void follower.run(end.signal);
-        await pass(t, 1000);
-        expect(group.asked).toBeLessThan(61);
+        await advance(t, 1000);
+        expect(group.requests).toBeLessThan(61);
         end.abort();
     });
 });
--- a/packages/fleet/src/tests/leavers.test.ts
+++ b/packages/fleet/src/tests/leavers.test.ts
@@ -15,14 +15,14 @@
 } from "../index.js";
 import { announcement } from "./standins.js";
 
-describe("upstreams that leave", () => {
+describe("draining upstreams", () => {
     beforeEach(() => mock.timers.enable({ apis: ["Date"], now: 1_000_000 }));
     afterEach(() => mock.timers.reset());
 
     describe("at the leader", () => {
         const stateOf = (registry: Registry, id = "a") => registry.get(id)?.upstream.state;
 
-        it("stay so whatever they announce, once an answer has said so", () => {
+        it("stay draining whatever they announce, once a response has said so", () => {
             const registry = new Registry(silentLog);
             registry.announce(announcement("a", 1));
             const before = registry.urgentPosition;
@@ -33,14 +33,14 @@
             expect(stateOf(registry)).toEqual(UpstreamState.DRAINING);
         });
 
-        it("are known to leave before they are known", () => {
+        it("can be marked before their first announcement", () => {
             const registry = new Registry(silentLog);
             registry.noteLeaving("a", "entry-1");
             registry.announce(announcement("a", 1));
             expect(stateOf(registry)).toEqual(UpstreamState.DRAINING);
         });
 
-        it("stay so after a silence, and under its next leadership", () => {
+        it("stay draining after they expired, and in a later leadership", () => {
             const registry = new Registry(silentLog);
             registry.announce(announcement("a", 1));
             registry.noteLeaving("a", "entry-1");
@@ -53,14 +53,14 @@
             expect(stateOf(registry)).toEqual(UpstreamState.DRAINING);
         });
 
-        it("are told as such to entries when they have left, others that are gone aren't", () => {
+        it("are sent to entries as departed once they deregister, unlike expired upstreams", () => {
             const registry = new Registry(silentLog);
             registry.announce(announcement("a", 1));
             registry.announce(announcement("b", 1));
             registry.leave("a");
             mock.timers.tick(20_000);
             registry.expire();
-            const { removed, left } = registry.since(0);
+            const { removed, departed: left } = registry.since(0);
             expect([[...removed].sort(), left]).toEqual([["a", "b"], ["a"]]);
         });
     });
@@ -82,7 +82,7 @@
             return create(UpstreamSchema, { id, name: id, address: `h:${id}`, service: "s", slots: 8, state });
         }
 
-        it("stay so under a leader that has never heard of it", () => {
+        it("stay draining under a new leader that doesn't know about it", () => {
             const view = new FleetView(() => undefined, silentLog);
             poll(view, "2/a", { ready: ["a", "b"] });
             poll(view, "2/a", { left: ["a"] });
@@ -91,16 +91,16 @@
             expect(states).toEqual([UpstreamState.DRAINING, UpstreamState.READY]);
         });
 
-        it("are told once to each leadership, for a minute", () => {
+        it("are reported once to each leadership, for a minute", () => {
             const availability = new AvailabilityBook();
-            const told = new ToldLeavers(availability);
-            expect(told.hasNews).toEqual(false);
+            const reports = new ToldLeavers(availability);
+            expect(reports.hasNews).toEqual(false);
             availability.leaves("a");
-            expect([told.hasNews, told.toTell("1/x")]).toEqual([true, ["a"]]);
-            told.told(["a"], "1/x");
-            expect([told.hasNews, told.toTell("1/x"), told.toTell("2/y")]).toEqual([false, [], ["a"]]);
+            expect([reports.hasNews, reports.toTell("1/x")]).toEqual([true, ["a"]]);
+            reports.told(["a"], "1/x");
+            expect([reports.hasNews, reports.toTell("1/x"), reports.toTell("2/y")]).toEqual([false, [], ["a"]]);
             mock.timers.tick(61_000);
-            expect(told.toTell("2/y")).toEqual([]);
+            expect(reports.toTell("2/y")).toEqual([]);
         });
     });
 });
--- a/packages/fleet/src/tests/registries.test.ts
+++ b/packages/fleet/src/tests/registries.test.ts
@@ -3,27 +3,27 @@
 import { announcement, registryWith } from "./standins.js";
 
 describe("Registry", () => {
-    describe("an announcement of a crashed process that was held up on its way", () => {
+    describe("a delayed announcement of a crashed process", () => {
         const at = (id: string, sequence: number) => {
-            const told = announcement(id, sequence);
-            told.upstream!.address = "10.0.0.1:80";
-            return told;
+            const result = announcement(id, sequence);
+            result.upstream!.address = "10.0.0.1:80";
+            return result;
         };
 
-        it("never brings it back once another has taken its address", () => {
+        it("is ignored once another process has taken its address", () => {
             const registry = registryWith(at("old", 5), at("new", 1));
             registry.announce(at("old", 6));
             expect(registry.all().map(({ upstream }) => upstream.id)).toEqual(["new"]);
         });
 
-        it("takes no address from one that was heard just now, at a leader that never heard of it", () => {
+        it("takes no address from a live upstream, at a leader that doesn't know the sender", () => {
             const registry = registryWith(at("new", 1));
             registry.announce(at("old", 6));
             registry.announce(at("old", 7));
             expect(registry.all().map(({ upstream }) => upstream.id)).toEqual(["new"]);
         });
 
-        it("is told from one of a process that lives, by the next", t => {
+        it("is told apart from one of a live process by the next announcement", t => {
             t.mock.timers.enable({ apis: ["Date"], now: 1_000_000 });
             const registry = registryWith(at("old", 5));
             registry.announce(at("new", 4));
@@ -33,11 +33,11 @@
         });
     });
 
-    describe("an upstream that seems to be down", () => {
+    describe("a suspected upstream", () => {
         const silentMs = 3000;
         const reports = 2;
 
-        it("is one that enough processes can't reach", () => {
+        it("is unreachable for enough processes", () => {
             const registry = registryWith(announcement("u", 1));
             registry.unreachable("u", "e1");
             registry.unreachable("u", "e1");
@@ -46,7 +46,7 @@
             expect(registry.isSuspect("u", silentMs, reports)).toEqual(true);
         });
 
-        it("is one that refused a connection, until it announces itself", () => {
+        it("has refused a connection since its last announcement", () => {
             const registry = registryWith(announcement("u", 1));
             registry.refused("u");
             expect(registry.isSuspect("u", silentMs, reports)).toEqual(true);
@@ -54,14 +54,14 @@
             expect(registry.isSuspect("u", silentMs, reports)).toEqual(false);
         });
 
-        it("is one that was silent for too long", t => {
+        it("has not announced itself for too long", t => {
             t.mock.timers.enable({ apis: ["Date"], now: 1_000_000 });
             const registry = registryWith(announcement("u", 1));
             t.mock.timers.tick(silentMs + 1);
             expect(registry.isSuspect("u", silentMs, reports)).toEqual(true);
         });
 
-        it("is trusted again once it announces itself", () => {
+        it("is cleared by an announcement", () => {
             const registry = registryWith(announcement("u", 1));
             registry.unreachable("u", "e1");
             registry.unreachable("u", "e2");
@@ -69,7 +69,7 @@
             expect(registry.isSuspect("u", silentMs, reports)).toEqual(false);
         });
 
-        it("is trusted again once the reports are old", t => {
+        it("is cleared once the reports have expired", t => {
             t.mock.timers.enable({ apis: ["Date"], now: 1_000_000 });
             const registry = registryWith(announcement("u", 1));
             registry.unreachable("u", "e1");
--- a/packages/fleet/src/tests/standins.ts
+++ b/packages/fleet/src/tests/standins.ts
@@ -1,4 +1,4 @@
-/** Engines, upstreams and demand for the tests of this slice. */
+/** Shared fixtures of this package's tests: engines, upstreams and demand. */
 import { create } from "@bufbuild/protobuf";
 import { silentLog, sleep, steadyNow } from "@winchpath/core";
 import { type EngineSpec } from "@winchpath/declarations";
@@ -84,24 +84,21 @@
     };
 }
 
-/** What a test wants an engine to answer to one order. */
-export type Script = (order: EngineOrder, expected: number) => OrderReply;
+/** Computes an engine's reply to one order. */
+export type OrderHandler = (order: EngineOrder, expected: number) => OrderReply;
 
-/**
- * An engine that counts its orders and holds what it was told, and crashes
- * where it is ordered to hold more than it has room for.
- */
+/** An engine that executes orders, and crashes if they exceed its memory. */
 export class ScriptedEngine implements EngineCalls {
     public readonly models = new Map<string, Set<string>>();
     public readonly orders: { readonly order: EngineOrder; readonly expected: number; readonly fence: Fence; }[] = [];
     public accepted = 0;
     public busy = false;
     public crashed = false;
-    /** Steady time until which it wants nothing. */
+    /** Monotonic time until which it accepts no orders. */
     public restsUntil = 0;
     public answerAfterMs = 0;
-    /** Answers in place of the engine's own, while there are any. */
-    public readonly scripts: Script[] = [];
+    /** Each one replies to one order in place of the engine. */
+    public readonly scripts: OrderHandler[] = [];
 
     public async order(_upstream: Upstream, order: EngineOrder, expected: number, fence: Fence): Promise<OrderReply> {
         this.orders.push({ order, expected, fence });
@@ -120,7 +117,7 @@
         return { orders: this.accepted, busy: this.busy, models };
     }
 
-    /** Does what an order says at once. */
+    /** Executes an order immediately. */
     public carryOut(order: EngineOrder, expected: number): OrderReply {
         if (this.busy || expected !== this.accepted) {
             return OrderReply.conflict;
@@ -152,11 +149,11 @@
             }
             adapters.add(order.adapter);
         }
-        this.checkRoom();
+        this.checkMemory();
         return OrderReply.accepted;
     }
 
-    private checkRoom(): void {
+    private checkMemory(): void {
         const adapters = [...this.models.values()].reduce((sum, held) => sum + held.size, 0);
         const usedMb = this.models.size * 100 + adapters;
         this.crashed ||= usedMb > spec.memoryMb || adapters > spec.adapterPlaces;
--- a/packages/fleet/src/upstreamrates.ts
+++ b/packages/fleet/src/upstreamrates.ts
@@ -1,13 +1,13 @@
-/** Rates that upstreams have named, as reports of entries carry them. */
+/** Encodes and decodes the upstream rate limits in the entries' reports. */
 import { type RateReport } from "@winchpath/availability";
 import { type UpstreamRate } from "./gen/winchpath/fleet/v1/fleet_pb.js";
 
-/** Ages are told up to this, in milliseconds. */
-const longestAgeMs = 3_600_000;
+/** Reported ages are capped at this value. */
+const maxAgeMs = 3_600_000;
 
 export function encodeRate(report: RateReport) {
     const { upstream } = report;
-    const ageMs = Math.round(Math.min(longestAgeMs, report.ageMs));
+    const ageMs = Math.round(Math.min(maxAgeMs, report.ageMs));
     return report.kind === "lifted"
         ? { upstream, ageMs, lifted: true }
         : { upstream, ageMs, perSecond: report.perSecond, wanted: report.wanted, held: report.held };
--- a/packages/fleet/src/views.ts
+++ b/packages/fleet/src/views.ts
@@ -1,4 +1,4 @@
-/** What an entry knows of upstreams and configuration. It goes on with it while control is out of reach. */
+/** An entry's copy of the upstreams and the configuration, which stays usable while no leader is reachable. */
 import { AvailabilityBook } from "@winchpath/availability";
 import { type EventLog, Notifier, steadyNow } from "@winchpath/core";
 import { QuarantineList } from "@winchpath/quarantine";
@@ -6,60 +6,60 @@
 import { type PollResponse, type Upstream, UpstreamState } from "./gen/winchpath/fleet/v1/fleet_pb.js";
 import { succeeds } from "./incarnations.js";
 
-/** Reads a document's text; gives undefined where it can't be used, which is logged by the reader. */
+/** Parses a configuration document. Logs the reason and returns undefined if the document is invalid. */
 export type DocumentReader<C> = (text: string, version: number) => C | undefined;
 
 export class FleetView<C> {
     /** Notified after each change. */
     public readonly changed = new Notifier();
     public readonly quarantine = new QuarantineList();
-    private readonly known = new Map<string, { upstream: Upstream; epoch: string; at: number; }>();
-    /** Id of the incarnation that is known under a name, or holds an address. */
+    private readonly upstreamsById = new Map<string, { upstream: Upstream; epoch: string; at: number; }>();
+    /** Ids of the current incarnations by name and by address. */
     private readonly idOfName = new Map<string, string>();
     private readonly idAtAddress = new Map<string, string>();
-    private held: { readonly version: number; readonly configuration: C; } | undefined;
+    private current: { readonly version: number; readonly configuration: C; } | undefined;
     private liveEntries = 1;
-    private heardAt = Number.NEGATIVE_INFINITY;
-    private confirmed = Number.NEGATIVE_INFINITY;
+    private lastResponseAt = Number.NEGATIVE_INFINITY;
+    private confirmedUntil = Number.NEGATIVE_INFINITY;
 
-    /** `availability`: what upstreams have said of themselves, in whatever way this process has heard it. */
+    /** `availability`: draining state and rate limits that upstreams have reported to this process or the leader. */
     public constructor(
-        private readonly read: DocumentReader<C>,
+        private readonly readDocument: DocumentReader<C>,
         private readonly log: EventLog,
         public readonly availability = new AvailabilityBook(),
     ) {}
 
     public get configuration(): C | undefined {
-        return this.held?.configuration;
+        return this.current?.configuration;
     }
 
-    /** Version of the document in force here; 0 where none is. */
+    /** Version of the active document; 0 if there is none. */
     public get version(): number {
-        return this.held?.version ?? 0;
+        return this.current?.version ?? 0;
     }
 
-    /** Entries that control knows to be alive, this one among them. */
+    /** Number of live entries, including this one. */
     public get entries(): number {
         return this.liveEntries;
     }
 
-    /** Milliseconds since control was heard; the age of all that stands here. */
+    /** Milliseconds since the last response of the leader. */
     public get ageMs(): number {
-        return steadyNow() - this.heardAt;
+        return steadyNow() - this.lastResponseAt;
     }
 
     public upstreams(): Upstream[] {
-        return [...this.known.values()].map(({ upstream }) => upstream);
+        return [...this.upstreamsById.values()].map(({ upstream }) => upstream);
     }
 
     public get(id: string): Upstream | undefined {
-        return this.known.get(id)?.upstream;
+        return this.upstreamsById.get(id)?.upstream;
     }
 
-    /** Milliseconds until a model that is being loaded can be expected anywhere; undefined where none is. */
+    /** Milliseconds until the first upstream that loads a model should be ready; undefined if none loads it. */
     public readyInMs(service: string, model: string): number | undefined {
         const now = steadyNow();
-        const waits = [...this.known.values()]
+        const waits = [...this.upstreamsById.values()]
             .filter(({ upstream }) => upstream.service === service && upstream.state === UpstreamState.READY)
             .flatMap(({ upstream, at }) =>
                 upstream.models
@@ -70,48 +70,48 @@
     }
 
     /**
-     * Steady time up to which every acknowledged document is known here. A leader answers no sooner than
-     * it has waited, and no other can have acknowledged anything before a majority last followed it.
+     * Monotonic time up to which every acknowledged document is known here. Computed from the time of the
+     * request, how long the leader held it, and when a majority last confirmed that leader.
      */
     public get confirmedAt(): number {
-        return this.confirmed;
+        return this.confirmedUntil;
     }
 
-    /** Takes in an answer of the leader; `sentAt`: steady time at which it was asked. */
+    /** Applies a response of the leader; `sentAt`: monotonic time at which the request was sent. */
     public take(res: PollResponse, sentAt = Number.NEGATIVE_INFINITY): void {
-        this.heardAt = steadyNow();
+        this.lastResponseAt = steadyNow();
         this.liveEntries = Math.max(1, res.entries);
         this.quarantine.takeKey(res.fingerprintKey);
         this.quarantine.take(decodeQuarantine(res));
-        // Outlives this leader: the next one may not have heard of it, and believe a late announcement.
+        // Kept across leaders: the next one may accept a delayed announcement of such an upstream.
         res.left.forEach(id => this.availability.leaves(id));
-        res.removed.forEach(id => this.forget(id, res.epoch));
-        res.changed.forEach(bytes => this.put(decodeUpstream(bytes), res.epoch));
+        res.removed.forEach(id => this.removeReported(id, res.epoch));
+        res.changed.forEach(bytes => this.update(decodeUpstream(bytes), res.epoch));
         if (res.complete) {
-            this.dropUnconfirmed(res.epoch);
+            this.deleteUnconfirmed(res.epoch);
         }
         if (res.documentText !== "") {
-            this.putDocument(res.documentText, Number(res.documentVersion));
+            this.updateDocument(res.documentText, Number(res.documentVersion));
         }
         if (Number(res.documentVersion) <= this.version) {
-            // A document that can't be read here leaves the ones before it unconfirmed.
-            this.confirmed = Math.max(this.confirmed, sentAt + res.waitedMs - res.quorumAgeMs);
+            // Not reached if the newest document is invalid here.
+            this.confirmedUntil = Math.max(this.confirmedUntil, sentAt + res.waitedMs - res.quorumAgeMs);
         }
         this.changed.notify();
     }
 
-    private put(upstream: Upstream, epoch: string): void {
+    private update(upstream: Upstream, epoch: string): void {
         const holder = this.named(upstream.name);
         if (holder !== undefined && succeeds(holder, upstream)) {
-            // A new leader may have heard a late word of the earlier run before one of the run that lives.
+            // A new leader may have received a delayed announcement of an earlier incarnation.
             return;
         }
-        const before = this.known.get(upstream.id);
+        const before = this.upstreamsById.get(upstream.id);
         if (upstream.state === UpstreamState.DRAINING) {
             this.availability.leaves(upstream.id);
         }
         else if (this.availability.isLeaving(upstream.id)) {
-            // A leader may not have heard yet what this process knows, or may have forgotten the upstream meanwhile.
+            // The leader may not know yet that the upstream drains, or may have removed it in the meantime.
             upstream.state = UpstreamState.DRAINING;
         }
         if (upstream.limited) {
@@ -125,40 +125,39 @@
                 epoch,
             });
         }
-        this.known.set(upstream.id, { upstream, epoch, at: steadyNow() });
-        this.own(this.idOfName, upstream.name, upstream.id);
-        this.own(this.idAtAddress, upstream.address, upstream.id);
+        this.upstreamsById.set(upstream.id, { upstream, epoch, at: steadyNow() });
+        this.claim(this.idOfName, upstream.name, upstream.id);
+        this.claim(this.idAtAddress, upstream.address, upstream.id);
     }
 
-    /** The incarnation that is known under a name; undefined where none is. */
+    /** The current incarnation of a name. */
     public named(name: string): Upstream | undefined {
         return this.get(this.idOfName.get(name) ?? "");
     }
 
-    /** A name or an address is one incarnation's: the one before it is gone. */
-    private own(owners: Map<string, string>, key: string, id: string): void {
+    /** Assigns a name or an address to an incarnation, and deletes its previous owner. */
+    private claim(owners: Map<string, string>, key: string, id: string): void {
         const before = this.get(owners.get(key) ?? "");
         owners.set(key, id);
         const isOther = before !== undefined && before.id !== id;
         if (isOther && (before.name === key || before.address === key)) {
-            this.drop(before.id);
+            this.delete(before.id);
         }
     }
 
-    /** The leader says that an upstream is gone. */
-    private forget(id: string, epoch: string): void {
+    private removeReported(id: string, epoch: string): void {
         if (this.get(id) !== undefined) {
             this.log.info("upstream.forgotten", { upstream: id, epoch });
-            this.drop(id);
+            this.delete(id);
         }
     }
 
-    private drop(id: string): void {
+    private delete(id: string): void {
         const upstream = this.get(id);
         if (upstream === undefined) {
             return;
         }
-        this.known.delete(id);
+        this.upstreamsById.delete(id);
         if (this.idOfName.get(upstream.name) === id) {
             this.idOfName.delete(upstream.name);
         }
@@ -167,24 +166,24 @@
         }
     }
 
-    /** What an earlier leader knew and the present one has never heard of is gone. */
-    private dropUnconfirmed(epoch: string): void {
-        for (const [id, entry] of this.known) {
-            if (entry.epoch !== epoch) {
-                this.drop(id);
+    /** Deletes upstreams that the current leader has not confirmed. */
+    private deleteUnconfirmed(epoch: string): void {
+        for (const [id, record] of this.upstreamsById) {
+            if (record.epoch !== epoch) {
+                this.delete(id);
                 this.log.info("upstream.unconfirmed", { upstream: id, epoch });
             }
         }
     }
 
-    /** Versions only grow here, whoever is asked. */
-    private putDocument(text: string, version: number): void {
+    /** Activates a document if it is newer than the active one, whichever leader sent it. */
+    private updateDocument(text: string, version: number): void {
         if (version <= this.version) {
             return;
         }
-        const configuration = this.read(text, version);
+        const configuration = this.readDocument(text, version);
         if (configuration !== undefined) {
-            this.held = { version, configuration };
+            this.current = { version, configuration };
             this.log.info("configuration.in-force", { version });
         }
     }
