--- a/packages/forwarding/src/admissions.ts
+++ b/packages/forwarding/src/admissions.ts
@@ -1,4 +1,4 @@
-/** Whether a request may pass, by its key and its account's limit; decided before it waits for an upstream. */
+/** Authenticates requests and enforces account limits before a request waits for an upstream. */
 import {
     type AccountLimiter,
     type Authenticator,
@@ -8,25 +8,25 @@
     uncounted,
 } from "@winchpath/accounts";
 import { type Route } from "@winchpath/declarations";
-import { OwnAnswer } from "./answers.js";
+import { LocalResponse } from "./answers.js";
 import { type RequestFacts } from "./codecs.js";
 
-/** When to come back, to another entry, from one that can't tell whose keys hold, in milliseconds. */
+/** Retry-After, in milliseconds, of an entry that cannot verify API keys; another entry may be able to. */
 const unconfirmedRetryMs = 50;
 
-/** A final answer in place of an upstream's. */
+/** A response that the entry sends instead of forwarding the request. */
 export interface Refusal {
     readonly kind: "refused";
-    readonly answer: OwnAnswer;
-    /** Undefined where coming back is of no use. */
+    readonly response: LocalResponse;
+    /** Undefined if a retry would not help. */
     readonly retryAfterMs: number | undefined;
-    /** What the log tells of the decision besides. */
+    /** Additional fields for the log. */
     readonly details?: Readonly<Record<string, unknown>>;
 }
 
 export interface Identified {
     readonly kind: "identified";
-    /** Undefined where the request needs no key and bears none. */
+    /** Undefined if the route is public and the request has no key. */
     readonly grant: Grant | undefined;
 }
 
@@ -38,39 +38,39 @@
 export class Admissions {
     public constructor(private readonly authenticator: Authenticator, private readonly limiter: AccountLimiter) {}
 
-    /** Whose request it is. */
-    public identify(route: Route, facts: RequestFacts): Identified | Refusal {
-        const identity = this.authenticator.identify(route.isPublic ?? false, facts.key);
+    /** Authenticates a request by its API key. */
+    public identify(route: Route, metadata: RequestFacts): Identified | Refusal {
+        const identity = this.authenticator.identify(route.isPublic ?? false, metadata.key);
         return identity.kind === "granted"
             ? { kind: "identified", grant: identity.grant }
-            : this.denied(identity.why, undefined);
+            : this.refusalFor(identity.why, undefined);
     }
 
-    /** Takes what the request needs of its account's limit. */
-    public async charge(grant: Grant | undefined, facts: RequestFacts): Promise<Charged | Refusal> {
+    /** Charges the request to its account's limit. */
+    public async charge(grant: Grant | undefined, metadata: RequestFacts): Promise<Charged | Refusal> {
         if (grant === undefined) {
             return { kind: "charged", charge: uncounted };
         }
-        const admission = await this.limiter.admit(grant.account, facts.limitTokens);
+        const admission = await this.limiter.admit(grant.account, metadata.limitTokens);
         if (admission.kind === "admitted") {
             return { kind: "charged", charge: admission.charge };
         }
         const { retryAfterMs, units, credit, limit } = admission;
         const details = { account: grant.account, units, credit, unit: limit.unit, perSecond: limit.perSecond };
-        return { kind: "refused", answer: OwnAnswer.overLimit, retryAfterMs, details };
+        return { kind: "refused", response: LocalResponse.overLimit, retryAfterMs, details };
     }
 
-    /** Why a request that was let in must not be sent now: its key may be gone by now. */
-    public barred(grant: Grant | undefined): Refusal | undefined {
+    /** Checks again, before a request is sent, that its API key is still valid. */
+    public denial(grant: Grant | undefined): Refusal | undefined {
         const why = this.authenticator.denial(grant);
-        return why === undefined ? undefined : this.denied(why, grant);
+        return why === undefined ? undefined : this.refusalFor(why, grant);
     }
 
-    private denied(why: Denial, grant: Grant | undefined): Refusal {
+    private refusalFor(why: Denial, grant: Grant | undefined): Refusal {
         const unconfirmed = why === "unconfirmed";
         return {
             kind: "refused",
-            answer: unconfirmed ? OwnAnswer.unconfirmed : OwnAnswer.unknownKey,
+            response: unconfirmed ? LocalResponse.unconfirmed : LocalResponse.unknownKey,
             retryAfterMs: unconfirmed ? unconfirmedRetryMs : undefined,
             details: { account: grant?.account, keysAgeMs: Math.round(this.authenticator.ageMs) },
         };
--- a/packages/forwarding/src/answers.ts
+++ b/packages/forwarding/src/answers.ts
@@ -1,72 +1,71 @@
-/** Answers of the system's own, in place of an upstream's. */
+/** Responses that the entry generates itself instead of forwarding an upstream's. */
 import { type ServerResponse } from "node:http";
 
-/** Why a request got no answer of an upstream. The status of each promises what callers rely on. */
-export const OwnAnswer = {
-    /** No configuration is known here yet; not run. */
+/** Status and reason of each generated response. "Not executed" means that no upstream has run the request. */
+export const LocalResponse = {
+    /** No configuration has been received yet; not executed. */
     unconfigured: { status: 503, reason: "unconfigured" },
-    /** No route matches. */
     unrouted: { status: 404, reason: "unrouted" },
-    /** No account holds the key that it bears, or it bears none. */
+    /** The API key is missing or belongs to no account. */
     unknownKey: { status: 401, reason: "unknown-key" },
-    /** Whether an account still holds its key is not known here; not run. */
+    /** The entry cannot verify that the API key is still valid; not executed. */
     unconfirmed: { status: 503, reason: "keys-unconfirmed" },
-    /** Its account has asked for more than its limit; not run. */
+    /** The account has exceeded its limit; not executed. */
     overLimit: { status: 429, reason: "over-limit" },
     headersTooLarge: { status: 431, reason: "headers-too-large" },
     bodyTooLarge: { status: 413, reason: "body-too-large" },
-    /** The body did not come in time; not run. */
+    /** The body was not received in time; not executed. */
     bodyLate: { status: 408, reason: "body-late" },
-    /** All upstreams are busy; not run. */
+    /** All upstreams are at capacity; not executed. */
     overloaded: { status: 503, reason: "overloaded" },
-    /** All upstreams that hold what it asks for have asked this entry for rest; not run. */
+    /** All upstreams that hold the requested model have asked this entry to back off; not executed. */
     resting: { status: 503, reason: "resting" },
-    /** All upstreams that hold what it asks for take a rate, which others use up; not run. */
+    /** All upstreams that hold the requested model are rate limited and no permit is available; not executed. */
     limited: { status: 503, reason: "limited" },
-    /** What it asks for is not loaded anywhere; not run. */
+    /** The requested model or adapter is not loaded on any upstream; not executed. */
     lacking: { status: 503, reason: "lacking" },
-    /** The service has no upstream that takes requests; not run. */
+    /** The service has no upstream that accepts requests; not executed. */
     noUpstream: { status: 503, reason: "no-upstream" },
-    /** Upstreams stated that they have not run it, and no other may be tried. */
+    /** Upstreams declined the request without executing it, and no further attempt is allowed. */
     declined: { status: 503, reason: "declined" },
-    /** An upstream failed that may have run it. */
+    /** An upstream failed and may have executed the request. */
     failed: { status: 502, reason: "failed" },
-    /** Time ran out, and an upstream may have run it. */
+    /** The deadline passed, and an upstream may have executed the request. */
     late: { status: 504, reason: "late" },
-    /** Upstreams ended each time that they ran it; it goes to no other. */
+    /** The request is quarantined because upstreams crashed while executing it. */
     barred: { status: 422, reason: "ends-upstreams" },
-    /** The process is stopping; not run. */
+    /** The process is shutting down; not executed. */
     stopping: { status: 503, reason: "stopping" },
 } as const;
-export type OwnAnswer = typeof OwnAnswer[keyof typeof OwnAnswer];
+export type LocalResponse = typeof LocalResponse[keyof typeof LocalResponse];
 
-/** Writes an answer; `retryAfterMs` where the request has not run and may come again. */
-export function writeOwnAnswer(
+/** Writes a generated response. `retryAfterMs` is set only if the request was not executed and may be retried. */
+export function writeLocalResponse(
     res: ServerResponse,
-    answer: OwnAnswer,
+    response: LocalResponse,
     options: { readonly retryAfterMs?: number; readonly close: boolean; },
 ): void {
-    const [type, body] = bodyOf(answer);
+    const [type, body] = bodyOf(response);
     const headers = ["Content-Type", type, "Content-Length", String(Buffer.byteLength(body))];
     if (options.retryAfterMs !== undefined) {
         headers.push("Retry-After", (options.retryAfterMs / 1000).toFixed(2));
     }
-    if (answer === OwnAnswer.unknownKey) {
+    if (response === LocalResponse.unknownKey) {
         headers.push("WWW-Authenticate", "Bearer");
     }
     if (options.close) {
         headers.push("Connection", "close");
     }
-    res.writeHead(answer.status, headers);
+    res.writeHead(response.status, headers);
     res.end(body);
 }
 
-/** Media type and text. */
-function bodyOf(answer: OwnAnswer): [string, string] {
-    if (answer !== OwnAnswer.barred) {
-        return ["application/json", JSON.stringify({ error: answer.reason })];
+/** Returns the media type and the body. */
+function bodyOf(response: LocalResponse): [string, string] {
+    if (response !== LocalResponse.barred) {
+        return ["application/json", JSON.stringify({ error: response.reason })];
     }
-    const { status, reason } = answer;
+    const { status, reason } = response;
     const title = "Upstreams ended each time they ran this request";
     const detail =
         "It is held back for an hour, or until an operator lets it in again; coming back sooner is of no use.";
--- a/packages/forwarding/src/attempts.ts
+++ b/packages/forwarding/src/attempts.ts
@@ -1,147 +1,153 @@
-/** One try of a request at one upstream. */
+/** A single attempt to send a request to one upstream. */
 import { Deferred, messageOf, steadyNow } from "@winchpath/core";
 import { type ServerResponse } from "node:http";
 import { type Dispatcher } from "undici";
 import { type AnswerFacts, type RequestCodec, withoutConnectionHeaders } from "./codecs.js";
 import { EventSplitter } from "./events.js";
-import { type HeldAnswer, isFramed, withoutLength, writeHeldAnswer } from "./heldanswers.js";
+import {
+    type BufferedResponse,
+    hasExplicitLength,
+    withoutContentLength,
+    writeBufferedResponse,
+} from "./heldanswers.js";
 import { type Job, leftMs } from "./jobs.js";
 import { type UpstreamLink } from "./links.js";
 
-/** Answers up to this size are handed on only once they are whole, so that a broken one can be tried again. */
-const heldBytes = 256 * 1024;
-
 /**
- * A request that has found no free connection by then goes elsewhere, in
- * milliseconds: a little more than a new connection may take.
+ * Responses up to this size are buffered completely before they are forwarded, so that a truncated one can be retried.
  */
-const longestUnsentMs = 500;
+const maxBufferedBytes = 256 * 1024;
+
+/** Time to wait for a free connection, in milliseconds; longer than it takes to establish a new one. */
+const connectionWaitMs = 500;
 
-/** Why a try ended whose upstream, or connection, has said nothing. */
-export const silentReason = "silent";
+/** Reason of an attempt that timed out without response headers. */
+export const headTimeoutReason = "silent";
 
-/** What came of a try. */
+/** The result of an attempt. */
 export type AttemptOutcome =
-    /** The whole answer was handed on. */
+    /** The complete response was forwarded. */
     | { readonly kind: "answered"; readonly status: number; }
-    /** The upstream has an answer that is no success; it was not handed on yet. */
-    | { readonly kind: "failure"; readonly answer: HeldAnswer; }
-    /** It is proved that the request has not run there. */
+    /** The upstream returned a non-success response, which has not been forwarded yet. */
+    | { readonly kind: "failure"; readonly response: BufferedResponse; }
+    /** The upstream has certainly not executed the request. */
     | {
         readonly kind: "not-run";
         readonly reason: string;
         readonly misdirected: boolean;
         readonly unreachable: boolean;
     }
-    /** It may have run; nothing was handed on. `lost`: whether its connection ended under it. */
+    /** The upstream may have executed the request; nothing was forwarded. `lost`: the connection broke. */
     | { readonly kind: "unknown"; readonly reason: string; readonly lost: boolean; }
-    /** Part of the answer was handed on, and the rest does not come. */
+    /** The response broke off after part of it was forwarded. */
     | { readonly kind: "broken"; readonly reason: string; readonly lost: boolean; }
-    /** Time ran out. */
+    /** The deadline passed. */
     | { readonly kind: "late"; }
     | { readonly kind: "caller-gone"; };
 
-/** What a try needs of the one who makes it. */
+/** Settings and callbacks of an attempt. */
 export interface AttemptParts {
     readonly codec: RequestCodec;
     readonly res: ServerResponse;
-    /** More urgent requests are run first; undefined where the upstream knows no urgency. */
+    /** Scheduling priority for the upstream, 0 first; undefined if the upstream does not support it. */
     readonly urgency: number | undefined;
-    /** Whether the configuration sets accounts, so that keys are for the system itself. */
+    /** Whether the configuration defines accounts, so that API keys are removed before forwarding. */
     readonly keysAreOurs: boolean;
-    /** Whether answers tell the caller to close its connection. */
+    /** Whether responses ask the client to close its connection. */
     readonly closing: () => boolean;
-    /** Whether the upstream may still be sent requests; asked when a connection is free for this one. */
+    /** Whether the upstream may still receive the request; checked once a connection is available. */
     readonly maySend: () => boolean;
     /**
-     * Without the head of an answer by then the upstream, or the connection, counts as silent, in
-     * milliseconds after the start; undefined where the request can't go anywhere else.
+     * Time to wait for response headers, in milliseconds; undefined if the request cannot be sent to another upstream.
      */
-    readonly silentAfterMs: number | undefined;
-    /** Told what the head of any answer says, whether it is handed on or not. */
+    readonly headTimeoutMs: number | undefined;
+    /** Called with the metadata of every response, including those that are not forwarded. */
     readonly onHead: (facts: AnswerFacts) => void;
-    /** Told when the upstream has begun to answer, in time for the objective. */
+    /** Called when a valid response has started. */
     readonly onAnswer: () => void;
-    /** Told how long a stream has been silent between two events, in milliseconds. */
+    /** Called with the time between two consecutive events of a stream, in milliseconds. */
     readonly onPause: (ms: number) => void;
 }
 
-class GivenUp extends Error {}
+class AttemptAborted extends Error {}
 
-export function attempt(job: Job, link: UpstreamLink, parts: AttemptParts): Promise<AttemptOutcome> {
-    return new Attempt(job, link, parts).run();
+export function attempt(request: Job, endpoint: UpstreamLink, options: AttemptParts): Promise<AttemptOutcome> {
+    return new Attempt(request, endpoint, options).run();
 }
 
 class Attempt implements Dispatcher.DispatchHandler {
-    private readonly done = new Deferred<AttemptOutcome>();
+    private readonly outcome = new Deferred<AttemptOutcome>();
     private readonly splitter = new EventSplitter();
-    private readonly held: Buffer[] = [];
-    private heldSize = 0;
-    /** Steady time of the last event that was handed on. */
-    private eventAt: number | undefined;
+    private readonly buffered: Buffer[] = [];
+    private bufferedBytes = 0;
+    /** Monotonic time at which the last event was forwarded. */
+    private lastEventAt: number | undefined;
     private controller: Dispatcher.DispatchController | undefined;
     private sent = false;
     private settled = false;
     private status = 0;
     private headers: readonly string[] = [];
-    private facts: AnswerFacts | undefined;
-    /** Whether this try has handed anything on. */
-    private handing = false;
+    private metadata: AnswerFacts | undefined;
+    /** Whether this attempt has forwarded any part of the response. */
+    private forwarding = false;
 
     public constructor(
-        private readonly job: Job,
-        private readonly link: UpstreamLink,
-        private readonly parts: AttemptParts,
+        private readonly request: Job,
+        private readonly endpoint: UpstreamLink,
+        private readonly options: AttemptParts,
     ) {}
 
     public async run(): Promise<AttemptOutcome> {
-        const { job, link } = this;
-        const onGone = () => this.giveUp({ kind: "caller-gone" });
-        const timer = setTimeout(() => this.giveUp({ kind: "late" }), Math.max(0, leftMs(job)));
-        const unsent = setTimeout(() => this.sent || this.settleUnsent("no free connection"), longestUnsentMs);
-        const silent = this.watchForSilence();
-        job.gone.addEventListener("abort", onGone, { once: true });
-        if (job.gone.aborted) {
-            onGone();
+        const { request, endpoint } = this;
+        const onClientGone = () => this.cancel({ kind: "caller-gone" });
+        const deadlineTimer = setTimeout(() => this.cancel({ kind: "late" }), Math.max(0, leftMs(request)));
+        const connectionTimer = setTimeout(
+            () => this.sent || this.settleUnsent("no free connection"),
+            connectionWaitMs,
+        );
+        const headTimer = this.startHeadTimeout();
+        request.gone.addEventListener("abort", onClientGone, { once: true });
+        if (request.gone.aborted) {
+            onClientGone();
         }
         else {
-            link.pool.dispatch(this.options(), this);
+            endpoint.pool.dispatch(this.dispatchOptions(), this);
         }
         try {
-            return await this.done.promise;
+            return await this.outcome.promise;
         }
         finally {
-            clearTimeout(timer);
-            clearTimeout(unsent);
-            clearTimeout(silent);
-            job.gone.removeEventListener("abort", onGone);
+            clearTimeout(deadlineTimer);
+            clearTimeout(connectionTimer);
+            clearTimeout(headTimer);
+            request.gone.removeEventListener("abort", onClientGone);
         }
     }
 
-    private watchForSilence(): NodeJS.Timeout | undefined {
-        const { silentAfterMs } = this.parts;
-        return silentAfterMs === undefined
+    private startHeadTimeout(): NodeJS.Timeout | undefined {
+        const { headTimeoutMs } = this.options;
+        return headTimeoutMs === undefined
             ? undefined
-            : setTimeout(() => this.endInSilence(), silentAfterMs);
+            : setTimeout(() => this.onHeadTimeout(), headTimeoutMs);
     }
 
-    private endInSilence(): void {
-        if (this.sent && this.facts === undefined) {
-            this.drop({ kind: "unknown", reason: silentReason, lost: false });
+    private onHeadTimeout(): void {
+        if (this.sent && this.metadata === undefined) {
+            this.abort({ kind: "unknown", reason: headTimeoutReason, lost: false });
         }
     }
 
     public onRequestStart(controller: Dispatcher.DispatchController): void {
         this.controller = controller;
         if (this.sent) {
-            // The client would send it anew on another connection; that is for the forwarder to decide.
-            this.settle({ kind: "unknown", reason: "the connection was lost", lost: true });
+            // undici would resend the request on another connection; the forwarder decides about retries.
+            this.settle({ kind: "unknown", reason: "connection lost", lost: true });
         }
-        else if (!this.parts.maySend()) {
-            this.settleUnsent("it takes no requests any more");
+        else if (!this.options.maySend()) {
+            this.settleUnsent("upstream no longer accepts requests");
         }
         if (this.settled) {
-            controller.abort(new GivenUp("settled"));
+            controller.abort(new AttemptAborted("settled"));
             return;
         }
         this.sent = true;
@@ -154,12 +160,12 @@
         this.controller = controller;
         this.status = status;
         this.headers = ((controller.rawHeaders ?? []) as Buffer[]).map(part => part.toString("latin1"));
-        this.facts = this.parts.codec.answerFacts(status, this.headers);
-        if (this.facts.load !== undefined) {
-            this.link.report(this.facts.load);
+        this.metadata = this.options.codec.answerFacts(status, this.headers);
+        if (this.metadata.load !== undefined) {
+            this.endpoint.updateReportedLoad(this.metadata.load);
         }
-        this.parts.onHead(this.facts);
-        this.checkAnswer(this.facts);
+        this.options.onHead(this.metadata);
+        this.validateResponse(this.metadata);
     }
 
     public onResponseData(controller: Dispatcher.DispatchController, chunk: Buffer): void {
@@ -167,18 +173,18 @@
             return;
         }
         if (this.isStream()) {
-            this.handOnEvents(controller, chunk);
+            this.forwardEvents(controller, chunk);
             return;
         }
-        if (this.handing) {
+        if (this.forwarding) {
             this.write(controller, chunk);
             return;
         }
-        this.held.push(chunk);
-        this.heldSize += chunk.length;
-        if (this.heldSize > heldBytes && this.isSuccess()) {
-            this.startAnswer(this.headers);
-            this.write(controller, Buffer.concat(this.held.splice(0)));
+        this.buffered.push(chunk);
+        this.bufferedBytes += chunk.length;
+        if (this.bufferedBytes > maxBufferedBytes && this.isSuccess()) {
+            this.startResponse(this.headers);
+            this.write(controller, Buffer.concat(this.buffered.splice(0)));
         }
     }
 
@@ -186,18 +192,18 @@
         if (this.settled) {
             return;
         }
-        if (!this.isFramed() && this.link.ends.isReset) {
-            const kind = this.handing ? "broken" : "unknown";
-            this.settle({ kind, reason: "reset before the answer was whole", lost: true });
+        if (!this.hasExplicitLength() && this.endpoint.resetDetector.wasReset) {
+            const kind = this.forwarding ? "broken" : "unknown";
+            this.settle({ kind, reason: "connection reset before the end of the response", lost: true });
         }
         else if (this.isStream()) {
             this.endStream();
         }
-        else if (this.handing) {
-            this.endAnswer();
+        else if (this.forwarding) {
+            this.endResponse();
         }
         else {
-            this.finishHeld();
+            this.finishBuffered();
         }
     }
 
@@ -205,7 +211,7 @@
         if (!this.sent) {
             this.settle({ kind: "not-run", reason: messageOf(err), misdirected: false, unreachable: true });
         }
-        else if (this.handing) {
+        else if (this.forwarding) {
             this.settle({ kind: "broken", reason: messageOf(err), lost: true });
         }
         else {
@@ -213,46 +219,46 @@
         }
     }
 
-    private options(): Dispatcher.DispatchOptions {
-        const { job, link, parts } = this;
-        const headers = parts.codec.forwardHeaders(job.headers, {
-            upstream: link.description.name,
-            account: job.grant?.account,
-            keysAreOurs: parts.keysAreOurs,
-            deadlineMs: Math.max(1, Math.round(leftMs(job))),
-            urgency: parts.urgency,
-            resumeFrom: job.lastEventId ?? job.facts.resumeFrom,
+    private dispatchOptions(): Dispatcher.DispatchOptions {
+        const { request, endpoint, options } = this;
+        const headers = options.codec.forwardHeaders(request.headers, {
+            upstream: endpoint.description.name,
+            account: request.grant?.account,
+            keysAreOurs: options.keysAreOurs,
+            deadlineMs: Math.max(1, Math.round(leftMs(request))),
+            urgency: options.urgency,
+            resumeFrom: request.lastEventId ?? request.facts.resumeFrom,
         });
         return {
-            path: job.url,
-            method: job.method as Dispatcher.HttpMethod,
+            path: request.url,
+            method: request.method as Dispatcher.HttpMethod,
             headers,
-            body: job.body.length === 0 ? undefined : job.body,
+            body: request.body.length === 0 ? undefined : request.body,
         };
     }
 
-    /** An answer of another request, or one that does not look like an upstream's, is handed on to nobody. */
-    private checkAnswer(facts: AnswerFacts): void {
-        if (facts.id !== this.job.id) {
-            this.drop({ kind: "unknown", reason: "the answer belongs to another request", lost: false });
+    /** Rejects responses to other requests and responses without a seal. */
+    private validateResponse(metadata: AnswerFacts): void {
+        if (metadata.id !== this.request.id) {
+            this.abort({ kind: "unknown", reason: "response to another request", lost: false });
         }
-        else if (facts.notRun || facts.misdirected) {
-            // Read to its end, so that the connection can be used again.
+        else if (metadata.notRun || metadata.misdirected) {
+            // The response is read to its end so that the connection can be reused.
             const reason = `status ${this.status}`;
-            this.settle({ kind: "not-run", reason, misdirected: facts.misdirected, unreachable: false });
+            this.settle({ kind: "not-run", reason, misdirected: metadata.misdirected, unreachable: false });
         }
-        else if (!facts.sealed) {
-            const reason = `status ${this.status} without the mark of a whole answer`;
-            this.drop({ kind: "unknown", reason, lost: false });
+        else if (!metadata.sealed) {
+            const reason = `status ${this.status} without a response seal`;
+            this.abort({ kind: "unknown", reason, lost: false });
         }
         else {
-            this.parts.onAnswer();
+            this.options.onAnswer();
         }
     }
 
-    /** Whether the answer tells where it ends; otherwise it ends with its connection. */
-    private isFramed(): boolean {
-        return isFramed(this.headers);
+    /** Whether the headers delimit the body; otherwise it ends when the connection closes. */
+    private hasExplicitLength(): boolean {
+        return hasExplicitLength(this.headers);
     }
 
     private isSuccess(): boolean {
@@ -260,101 +266,106 @@
     }
 
     private isStream(): boolean {
-        return this.isSuccess() && this.job.route.kind === "streaming";
+        return this.isSuccess() && this.request.route.kind === "streaming";
     }
 
-    private handOnEvents(controller: Dispatcher.DispatchController, chunk: Buffer): void {
+    private forwardEvents(controller: Dispatcher.DispatchController, chunk: Buffer): void {
         const { bytes, lastId } = this.splitter.push(chunk);
         if (bytes.length === 0) {
             return;
         }
         this.startStream();
         const now = steadyNow();
-        if (this.eventAt !== undefined) {
-            this.parts.onPause(now - this.eventAt);
+        if (this.lastEventAt !== undefined) {
+            this.options.onPause(now - this.lastEventAt);
         }
-        this.eventAt = now;
-        this.job.lastEventId = lastId ?? this.job.lastEventId;
+        this.lastEventAt = now;
+        this.request.lastEventId = lastId ?? this.request.lastEventId;
         this.write(controller, bytes);
     }
 
-    /** A stream's length is not known to us: it is sent in chunks, whatever the upstream said. */
+    /** Sends a stream chunked, whatever its length upstream: a resumed stream has a different length. */
     private startStream(): void {
-        if (!this.handing) {
-            this.startAnswer(withoutLength(this.headers));
+        if (!this.forwarding) {
+            this.startResponse(withoutContentLength(this.headers));
         }
     }
 
-    private startAnswer(headers: readonly string[]): void {
-        this.handing = true;
-        if (this.job.answerStarted) {
-            // A resumed stream goes on under the headers of its first upstream.
+    private startResponse(headers: readonly string[]): void {
+        this.forwarding = true;
+        if (this.request.answerStarted) {
+            // The client already has the headers of the first upstream of a resumed stream.
             return;
         }
-        this.job.answerStarted = true;
+        this.request.answerStarted = true;
         const kept = withoutConnectionHeaders(headers);
-        if (this.parts.closing()) {
+        if (this.options.closing()) {
             kept.push("Connection", "close");
         }
-        this.parts.res.writeHead(this.status, kept);
-        this.parts.res.flushHeaders();
+        this.options.res.writeHead(this.status, kept);
+        this.options.res.flushHeaders();
     }
 
     private write(controller: Dispatcher.DispatchController, bytes: Buffer): void {
-        if (!this.parts.res.write(bytes)) {
+        if (!this.options.res.write(bytes)) {
             controller.pause();
-            this.parts.res.once("drain", () => controller.resume());
+            this.options.res.once("drain", () => controller.resume());
         }
     }
 
     private endStream(): void {
         this.startStream();
         if (this.splitter.remainder.length > 0) {
-            this.parts.res.write(this.splitter.remainder);
+            this.options.res.write(this.splitter.remainder);
         }
-        this.endAnswer();
+        this.endResponse();
     }
 
-    private endAnswer(): void {
-        this.parts.res.end();
+    private endResponse(): void {
+        this.options.res.end();
         this.settle({ kind: "answered", status: this.status });
     }
 
-    private finishHeld(): void {
-        const answer = { status: this.status, headers: this.headers, body: Buffer.concat(this.held) };
+    private finishBuffered(): void {
+        const response = { status: this.status, headers: this.headers, body: Buffer.concat(this.buffered) };
         if (!this.isSuccess()) {
-            this.settle({ kind: "failure", answer });
+            this.settle({ kind: "failure", response });
             return;
         }
-        writeHeldAnswer(this.parts.res, answer, this.parts.closing());
-        this.handing = true;
+        writeBufferedResponse(this.options.res, response, this.options.closing());
+        this.forwarding = true;
         this.settle({ kind: "answered", status: this.status });
     }
 
-    /** Nothing of the request has gone out. */
+    /** Settles an attempt of which nothing was sent. */
     private settleUnsent(reason: string): void {
         this.settle({ kind: "not-run", reason, misdirected: false, unreachable: false });
     }
 
-    private giveUp(outcome: AttemptOutcome): void {
-        const untouched = outcome.kind === "late" && !this.sent;
-        this.drop(
-            untouched
-                ? { kind: "not-run", reason: "no connection in time", misdirected: false, unreachable: true }
+    private cancel(outcome: AttemptOutcome): void {
+        const unsent = outcome.kind === "late" && !this.sent;
+        this.abort(
+            unsent
+                ? {
+                    kind: "not-run",
+                    reason: "no connection before the deadline",
+                    misdirected: false,
+                    unreachable: true,
+                }
                 : outcome,
         );
     }
 
-    /** Settles, and closes the connection: what comes on it belongs to nobody. */
-    private drop(outcome: AttemptOutcome): void {
+    /** Settles the attempt and closes the connection, since the rest of the response must not be read. */
+    private abort(outcome: AttemptOutcome): void {
         this.settle(outcome);
-        this.controller?.abort(new GivenUp(outcome.kind));
+        this.controller?.abort(new AttemptAborted(outcome.kind));
     }
 
     private settle(outcome: AttemptOutcome): void {
         if (!this.settled) {
             this.settled = true;
-            this.done.resolve(outcome);
+            this.outcome.resolve(outcome);
         }
     }
 }
--- a/packages/forwarding/src/budgets.ts
+++ b/packages/forwarding/src/budgets.ts
@@ -1,44 +1,43 @@
 /**
- * Bounds requests that are sent once more, so that they can't multiply a
- * failure. Entries share one bound without talking: each takes its share of
- * what callers send through it, and an equal part of the fixed slack.
+ * Limits retries so that they cannot amplify an outage. The limit is divided among entries without coordination: each
+ * may retry a share of the requests that it receives, plus an equal part of a fixed allowance.
  */
 import { steadyNow } from "@winchpath/core";
 
-/** Part of the bound that is used; the rest is for entries that count differently, or come and go. */
-const usedShare = 0.8;
+/** Fraction of the limit that is used, so that the total stays within it while the number of entries changes. */
+const safetyFactor = 0.8;
 
 export interface RetryBudgetOptions {
-    /** Sent once more for each request, at most. */
+    /** Maximum number of retries per request. */
     readonly ratio: number;
-    /** Beyond that, over all entries, in a window. */
+    /** Retries that all entries together may send in a window in addition to the ratio. */
     readonly slack: number;
     readonly windowMs: number;
 }
 
-export class WindowBudget {
+export class RetryBudget {
     private requests: number[] = [];
     private retries: number[] = [];
 
     public constructor(private readonly options: RetryBudgetOptions) {}
 
-    /** A request came in. */
-    public request(): void {
+    /** Records an incoming request. */
+    public recordRequest(): void {
         this.requests.push(steadyNow());
     }
 
-    /** Retries that are left to this entry, of which there are `entries` alike. */
-    public left(entries: number): number {
+    /** Returns how many retries this entry has left if the limit is divided among `entries`. */
+    public remaining(entries: number): number {
         const from = steadyNow() - this.options.windowMs;
-        this.requests = withoutOld(this.requests, from);
-        this.retries = withoutOld(this.retries, from);
+        this.requests = dropExpired(this.requests, from);
+        this.retries = dropExpired(this.retries, from);
         const allowed = this.options.ratio * this.requests.length + this.options.slack / entries;
-        return allowed * usedShare - this.retries.length;
+        return allowed * safetyFactor - this.retries.length;
     }
 
-    /** Whether one more may be sent; counts it when so. */
-    public spend(entries: number): boolean {
-        if (this.left(entries) < 1) {
+    /** Consumes one retry if any is left. */
+    public trySpend(entries: number): boolean {
+        if (this.remaining(entries) < 1) {
             return false;
         }
         this.retries.push(steadyNow());
@@ -46,7 +45,7 @@
     }
 }
 
-function withoutOld(times: number[], from: number): number[] {
+function dropExpired(times: number[], from: number): number[] {
     const first = times.findIndex(time => time > from);
     return first === 0 ? times : first === -1 ? [] : times.slice(first);
 }
--- a/packages/forwarding/src/codecs.ts
+++ b/packages/forwarding/src/codecs.ts
@@ -1,90 +1,98 @@
-/** What forwarding has to know of the headers that callers and upstreams use; an adapter names them. */
+/** Header-independent request and response metadata. A codec maps it to the headers of a platform. */
 
-/** A header list as Node.js gives it: name, value, name, value. */
+/** Headers as a flat list of alternating names and values, as in Node.js. */
 export type RawHeaders = readonly string[];
 
-/** A part of a prompt; requests share parts. */
+/** A segment of a prompt that several requests may share. */
 export interface PromptPart {
     readonly id: string;
     readonly tokens: number;
 }
 
-/** What a request says of itself. */
+/** Metadata of a request, parsed from its headers. */
 export interface RequestFacts {
-    /** Undefined where the caller sent none. */
+    /** Undefined if the client sent none. */
     readonly id: string | undefined;
-    /** Key of the caller's account; undefined where it shows none, or several. */
+    /** API key of the client account; undefined if there is none, or more than one. */
     readonly key: string | undefined;
-    /** How long the caller waits, in milliseconds. */
+    /** How long the client waits for the response, in milliseconds. */
     readonly deadlineMs: number | undefined;
-    /** Empty where the request asks for no model. */
+    /** Empty if the request names no model. */
     readonly model: string;
-    /** Empty where it asks for the model itself. */
+    /** Empty if the request uses the base model. */
     readonly adapter: string;
     readonly promptTokens: number;
     readonly maxOutputTokens: number;
-    /** What limits count: the sum of the two; undefined where the request names none. */
+    /**
+     * Tokens to charge to the account's limit: prompt plus maximum output; undefined if the request has no token
+     * counts.
+     */
     readonly limitTokens: number | undefined;
-    /** The caller's guess; right at the median, often far off. */
+    /** The client's estimate of the output length. */
     readonly likelyOutputTokens: number | undefined;
-    /** Parts of the prompt in order; the last is the request's or its session's own. */
+    /** Segments of the prompt in order; the last one is specific to the request or its session. */
     readonly parts: readonly PromptPart[];
-    /** Event behind which a broken stream is to go on. */
+    /** Id of the event after which a stream is resumed. */
     readonly resumeFrom: string | undefined;
 }
 
-/** What the system tells an upstream. */
+/** Values that the entry adds to the headers of a forwarded request. */
 export interface ForwardFacts {
-    /** Name of the upstream; no other may take the request. */
+    /** Name of the upstream; any other one must decline the request. */
     readonly upstream: string;
-    /** Account that the request is served for; undefined where there is none. */
+    /** Account of the client; undefined if there is none. */
     readonly account: string | undefined;
-    /** Whether keys are for the system itself, and go no further. */
+    /** Whether API keys are removed before forwarding. */
     readonly keysAreOurs: boolean;
-    /** Time that is left, in milliseconds. */
+    /** Time left until the deadline, in milliseconds. */
     readonly deadlineMs: number;
     /** 0 is the most urgent. */
     readonly urgency: number | undefined;
-    /** Event behind which the stream is to go on, where it is resumed. */
+    /** Id of the event after which the stream is resumed. */
     readonly resumeFrom: string | undefined;
 }
 
-/** How busy an upstream said that it is. */
+/** Load as reported by an upstream. */
 export interface ReportedLoad {
     readonly running: number;
     readonly waiting: number;
     readonly slots: number;
 }
 
-/** What an upstream's answer says of itself. */
+/** Metadata of a response, parsed from its status and headers. */
 export interface AnswerFacts {
-    /** Request that it belongs to. */
+    /** Id of the request that the response belongs to. */
     readonly id: string | undefined;
-    /** Whether it bears the mark of a whole answer of an upstream. */
+    /** Whether the response has the seal that upstreams set on every complete response. */
     readonly sealed: boolean;
-    /** Whether the upstream states that it has not run the request. */
+    /** Whether the upstream declares that it has not executed the request. */
     readonly notRun: boolean;
-    /** Whether it does not hold what was asked for, or is another run than the one named. */
+    /** Whether the upstream does not hold the model, or is not the instance that the request was addressed to. */
     readonly misdirected: boolean;
     readonly load: ReportedLoad | undefined;
-    /** Whether the upstream says that it is about to leave. */
+    /** Whether the upstream announces that it is shutting down. */
     readonly leaving: boolean;
-    /** For how long it wants no requests from this process, in milliseconds; undefined where it asks for no rest. */
+    /**
+     * How long this process must not send requests to the upstream, in milliseconds; undefined if no back-off was
+     * requested.
+     */
     readonly restMs: number | undefined;
-    /** Requests a second that it takes from all processes together; undefined where it names no rate. */
+    /**
+     * Requests per second that the upstream accepts from all processes together; undefined if it sets no rate limit.
+     */
     readonly limitPerSecond: number | undefined;
-    /** Names of its headers that mean nothing here, in lower case. */
+    /** Unrecognized header names, in lower case. */
     readonly unknown: readonly string[];
 }
 
 export interface RequestCodec {
     requestFacts(headers: RawHeaders): RequestFacts;
-    /** Headers for the upstream: the caller's, without those of the connection, with those that the system sets. */
+    /** Returns the headers for the upstream: end-to-end headers of the client, plus those that the entry sets. */
     forwardHeaders(headers: RawHeaders, facts: ForwardFacts): string[];
     answerFacts(status: number, headers: RawHeaders): AnswerFacts;
 }
 
-/** Headers that concern one connection only, in lower case. */
+/** Hop-by-hop headers, in lower case. */
 const connectionHeaders = new Set([
     "connection",
     "keep-alive",
@@ -98,7 +106,7 @@
     "expect",
 ]);
 
-/** Headers without those of the connection, and without those named in its Connection header. */
+/** Removes hop-by-hop headers, including those listed in the Connection header. */
 export function withoutConnectionHeaders(headers: RawHeaders): string[] {
     const named = new Set<string>();
     for (let index = 0; index < headers.length; index += 2) {
@@ -116,12 +124,12 @@
     return kept;
 }
 
-/** First value of a header, whose name is given in lower case. */
+/** Returns the first value of a header; `name` is in lower case. */
 export function headerOf(headers: RawHeaders, name: string): string | undefined {
     return valuesOf(headers, name).next().value ?? undefined;
 }
 
-/** All values of a header, whose name is given in lower case. */
+/** Returns all values of a header; `name` is in lower case. */
 export function* valuesOf(headers: RawHeaders, name: string): Generator<string, void> {
     for (let index = 0; index < headers.length; index += 2) {
         if (headers[index].toLowerCase() === name) {
--- a/packages/forwarding/src/connectors.ts
+++ b/packages/forwarding/src/connectors.ts
@@ -1,40 +1,38 @@
-/** Opens connections to upstreams, so that one that was reset is never taken for one that has ended. */
+/** Opens connections to upstreams and tells resets from regular closes. */
 import { type Socket } from "node:net";
 import { buildConnector } from "undici";
 
 /**
- * The HTTP client takes an answer without a length for whole where its
- * connection was reset, by this code of the error. Under another code the
- * answer is broken, as it should be.
+ * undici treats a response without a length as complete if the connection fails with ECONNRESET. Under any other code
+ * it reports an error.
  */
-const resetCode = "ECONNRESET";
-const brokenCode = "UPSTREAM_RESET";
+const resetErrorCode = "ECONNRESET";
+const truncatedErrorCode = "UPSTREAM_RESET";
 
 /**
- * A connection that was idle for this long is probed by TCP, in milliseconds. The runtime's
- * further probes are a second apart and ten fail before it gives up, so one that has gone
- * silent for good is closed within some eleven seconds, without a request on it.
+ * Idle time before TCP keep-alive probes start, in milliseconds. Node.js sends ten probes one second apart, so that a
+ * dead connection is closed after about eleven seconds.
  */
-const probeAfterMs = 1000;
+const keepAliveProbeDelayMs = 1000;
 
-/** How the connections of one upstream end. */
-export class ConnectionEnds {
+/** Detects connections that were reset by the upstream. */
+export class ResetDetector {
     private resetting = false;
 
-    /** Whether the connection whose end is being told right now was reset. */
-    public get isReset(): boolean {
+    /** Whether the connection that is emitting its end event was reset. */
+    public get wasReset(): boolean {
         return this.resetting;
     }
 
-    /** Looks at a connection before the HTTP client does. */
-    public watch(socket: Socket): void {
-        socket.prependListener("error", (failure: NodeJS.ErrnoException) => {
-            if (failure.code === resetCode) {
-                failure.code = brokenCode;
+    /** Registers listeners that run before those of undici. */
+    public attach(socket: Socket): void {
+        socket.prependListener("error", (err: NodeJS.ErrnoException) => {
+            if (err.code === resetErrorCode) {
+                err.code = truncatedErrorCode;
             }
         });
-        // A reset that arrives together with data is told as an ordinary end. A connection
-        // that was reset has no peer any more; one whose other side has ended still has.
+        // A reset that arrives together with data is reported as a regular end. The socket has no remote address after
+        // a reset, but still has one after a regular close.
         socket.prependListener("end", () => {
             this.resetting = socket.remoteAddress === undefined;
             process.nextTick(() => {
@@ -44,22 +42,26 @@
     }
 }
 
-/** `timeoutMs`: how long a connection may take to be established. */
-export function upstreamConnector(timeoutMs: number, ends: ConnectionEnds): buildConnector.connector {
-    const connect = buildConnector({ timeout: timeoutMs, keepAlive: true, keepAliveInitialDelay: probeAfterMs });
+/** `timeoutMs`: timeout for establishing a connection. */
+export function upstreamConnector(timeoutMs: number, resetDetector: ResetDetector): buildConnector.connector {
+    const connect = buildConnector({
+        timeout: timeoutMs,
+        keepAlive: true,
+        keepAliveInitialDelay: keepAliveProbeDelayMs,
+    });
     return (options, callback) => {
         connect(options, (...[err, socket]) => {
             if (err) {
                 callback(err, noSocket);
                 return;
             }
-            ends.watch(socket!);
+            resetDetector.attach(socket!);
             callback(noError, socket!);
         });
     };
 }
 
-// The library's own words for what a callback does not carry.
+// undici's callback type requires null for an absent value.
 // eslint-disable-next-line no-restricted-syntax
 const noError = null;
 // eslint-disable-next-line no-restricted-syntax
--- a/packages/forwarding/src/doors.ts
+++ b/packages/forwarding/src/doors.ts
@@ -1,7 +1,4 @@
-/**
- * The listener for callers. It reads paths, headers and bodies as they are
- * written, and hands each request to the forwarder.
- */
+/** HTTP listener for clients. Reads and validates requests and passes them to the forwarder. */
 import { type EventLog, listenBacklog, Notifier, sleep, steadyNow } from "@winchpath/core";
 import { type Configuration, type ListenerLimits } from "@winchpath/declarations";
 import { type FleetView } from "@winchpath/fleet";
@@ -9,31 +6,28 @@
 import { createServer, type IncomingMessage, type ServerResponse } from "node:http";
 import { type AddressInfo } from "node:net";
 import { type Admissions, type Refusal } from "./admissions.js";
-import { OwnAnswer, writeOwnAnswer } from "./answers.js";
+import { LocalResponse, writeLocalResponse } from "./answers.js";
 import { headerOf, type RequestCodec } from "./codecs.js";
 import { type Forwarder } from "./forwarders.js";
 import { type Job } from "./jobs.js";
-import { drawTarget, RouteTable } from "./routetables.js";
+import { RouteTable, selectTarget } from "./routetables.js";
 
-/** Largest headers that are read at all; the configured bound is checked behind it. */
-const parserHeaderBytes = 256 * 1024;
-/** How often connections that are too slow are looked for, in milliseconds. */
-const slowCheckMs = 500;
-/** When to come back while no configuration is known. */
+/** Header limit of the HTTP parser; the lower configured limit is checked afterwards. */
+const maxParsedHeaderBytes = 256 * 1024;
+/** Interval of the check for header timeouts, in milliseconds. */
+const timeoutCheckMs = 500;
+/** Retry-After while no configuration is known, in milliseconds. */
 const unconfiguredRetryMs = 500;
-/**
- * A request that comes right after the start waits this long for the configuration, in milliseconds: a little
- * more than an election and the first answer of the leader take. Its caller's one return would come later.
- */
+/** How long a request waits for the first configuration after startup, in milliseconds; covers a leader election. */
 const configurationWaitMs = 400;
-/** A final answer takes this long on its way, in milliseconds: callers are a few milliseconds away. */
-const answerTripMs = 20;
-/** When to come back, to another entry, from one that stops. */
+/** Time reserved for sending a response to the client, in milliseconds. */
+const responseTransitMs = 20;
+/** Retry-After while shutting down, in milliseconds; the client should use another entry. */
 const stoppingRetryMs = 50;
-/** How often a stopping listener closes connections that have become idle, in milliseconds. */
+/** Interval at which idle connections are closed during shutdown, in milliseconds. */
 const idleCheckMs = 50;
 
-export interface DoorParts {
+export interface ListenerDependencies {
     readonly view: FleetView<Configuration>;
     readonly codec: RequestCodec;
     readonly forwarder: Forwarder;
@@ -44,25 +38,25 @@
 
 export class CallerDoor {
     private readonly server = createServer({
-        maxHeaderSize: parserHeaderBytes,
-        connectionsCheckingInterval: slowCheckMs,
+        maxHeaderSize: maxParsedHeaderBytes,
+        connectionsCheckingInterval: timeoutCheckMs,
         noDelay: true,
-    }, (req, res) => void this.take(req, res));
-    private table: RouteTable | undefined;
-    /** Notified when routes are known. */
+    }, (req, res) => void this.handle(req, res));
+    private routeTable: RouteTable | undefined;
+    /** Notified when a configuration becomes available. */
     private readonly configured = new Notifier();
-    private requests = 0;
+    private active = 0;
     private closing = false;
 
-    public constructor(private readonly parts: DoorParts) {}
+    public constructor(private readonly deps: ListenerDependencies) {}
 
     public get port(): number {
         return (this.server.address() as AddressInfo).port;
     }
 
-    /** Requests that are being served. */
-    public get open(): number {
-        return this.requests;
+    /** Number of requests in progress. */
+    public get activeRequests(): number {
+        return this.active;
     }
 
     public async listen(address: { readonly host: string; readonly port: number; }): Promise<void> {
@@ -70,123 +64,123 @@
         await once(this.server, "listening");
     }
 
-    /** Follows the configuration that the view holds now. */
+    /** Applies the current configuration of the fleet view. */
     public refresh(): void {
-        const { configuration } = this.parts.view;
-        if (configuration === undefined || configuration === this.table?.configuration) {
+        const { configuration } = this.deps.view;
+        if (configuration === undefined || configuration === this.routeTable?.configuration) {
             return;
         }
-        this.table = new RouteTable(configuration);
+        this.routeTable = new RouteTable(configuration);
         this.configured.notify();
         const { headerTimeoutMs, idleTimeoutMs } = configuration.limits;
         this.server.headersTimeout = headerTimeoutMs;
         this.server.keepAliveTimeout = idleTimeoutMs;
     }
 
-    /** Takes no new connections, and returns once what runs has ended or the time has passed. */
+    /** Stops accepting connections and waits for active requests, up to `graceMs`. */
     public async close(graceMs: number): Promise<void> {
         const deadline = steadyNow() + graceMs;
         this.closing = true;
         this.server.close();
-        while (this.requests > 0 && steadyNow() < deadline) {
+        while (this.active > 0 && steadyNow() < deadline) {
             this.server.closeIdleConnections();
             await sleep(idleCheckMs);
         }
         this.server.closeIdleConnections();
-        if (this.requests > 0) {
-            this.parts.log.warn("requests.cut", { count: this.requests });
+        if (this.active > 0) {
+            this.deps.log.warn("requests.cut", { count: this.active });
         }
         this.server.closeAllConnections();
     }
 
-    private async take(req: IncomingMessage, res: ServerResponse): Promise<void> {
+    private async handle(req: IncomingMessage, res: ServerResponse): Promise<void> {
         const startedAt = steadyNow();
-        const gone = new AbortController();
-        res.once("close", () => gone.abort());
-        // An answer that began before the stop has promised to keep its connection: it is not kept all the same.
-        res.once("finish", () => this.parts.stopping() && req.socket.end());
+        const clientAbort = new AbortController();
+        res.once("close", () => clientAbort.abort());
+        // Closes the connection even if the response headers, sent before the shutdown, did not announce it.
+        res.once("finish", () => this.deps.stopping() && req.socket.end());
         res.sendDate = false;
-        this.requests += 1;
+        this.active += 1;
         try {
-            const job = await this.admit(req, res, startedAt, gone.signal);
-            if (job !== undefined) {
-                await this.parts.forwarder.serve(job, res);
+            const request = await this.admit(req, res, startedAt, clientAbort.signal);
+            if (request !== undefined) {
+                await this.deps.forwarder.serve(request, res);
             }
         }
         catch (err) {
-            this.parts.log.warn("request.crashed", { error: err instanceof Error ? err.stack : String(err) });
+            this.deps.log.warn("request.crashed", { error: err instanceof Error ? err.stack : String(err) });
             res.destroy();
         }
         finally {
-            this.requests -= 1;
+            this.active -= 1;
         }
     }
 
-    /** Reads and checks a request; answers it here where it goes no further. */
+    /** Reads and validates a request. Returns undefined if it has been answered here. */
     private async admit(
         req: IncomingMessage,
         res: ServerResponse,
         startedAt: number,
-        gone: AbortSignal,
+        abortSignal: AbortSignal,
     ): Promise<Job | undefined> {
-        const facts = this.parts.codec.requestFacts(req.rawHeaders);
-        const table = this.table ?? await this.firstTable(startedAt);
-        const refuse = (answer: OwnAnswer, retryAfterMs?: number) => {
-            this.refuse(req, res, facts.id, { kind: "refused", answer, retryAfterMs });
+        const metadata = this.deps.codec.requestFacts(req.rawHeaders);
+        const table = this.routeTable ?? await this.waitForRoutes(startedAt);
+        const refuse = (response: LocalResponse, retryAfterMs?: number) => {
+            this.refuse(req, res, metadata.id, { kind: "refused", response, retryAfterMs });
             return undefined;
         };
         const refuseFor = (refusal: Refusal) => {
-            this.refuse(req, res, facts.id, refusal);
+            this.refuse(req, res, metadata.id, refusal);
             return undefined;
         };
         if (this.closing) {
-            // There may not be time for it; another entry has that.
-            return refuse(OwnAnswer.stopping, stoppingRetryMs);
+            // There may be too little time left before the shutdown.
+            return refuse(LocalResponse.stopping, stoppingRetryMs);
         }
         if (table === undefined) {
-            return refuse(OwnAnswer.unconfigured, unconfiguredRetryMs);
+            return refuse(LocalResponse.unconfigured, unconfiguredRetryMs);
         }
         const { limits } = table.configuration;
         if (headerBytes(req.rawHeaders) > limits.headerBytes) {
-            return refuse(OwnAnswer.headersTooLarge);
+            return refuse(LocalResponse.headersTooLarge);
         }
         const route = table.match(req.headers.host ?? "", req.url!);
         if (route === undefined) {
-            return refuse(OwnAnswer.unrouted);
+            return refuse(LocalResponse.unrouted);
         }
-        const identified = this.parts.admissions.identify(route, facts);
+        const identified = this.deps.admissions.identify(route, metadata);
         if (identified.kind === "refused") {
             return refuseFor(identified);
         }
         const { grant } = identified;
         const body = await readBody(req, limits);
-        if (gone.aborted) {
+        if (abortSignal.aborted) {
             return undefined;
         }
         if (!Buffer.isBuffer(body)) {
             return refuse(body);
         }
-        const charged = await this.parts.admissions.charge(grant, facts);
+        const charged = await this.deps.admissions.charge(grant, metadata);
         if (charged.kind === "refused") {
             return refuseFor(charged);
         }
-        const waitMs = Math.min(route.timeoutMs, facts.deadlineMs ?? route.timeoutMs);
+        const waitMs = Math.min(route.timeoutMs, metadata.deadlineMs ?? route.timeoutMs);
         return {
-            id: facts.id ?? "",
+            id: metadata.id ?? "",
             method: req.method!,
             host: req.headers.host ?? "",
             url: req.url!,
             headers: req.rawHeaders,
             body,
-            facts,
+            facts: metadata,
             route,
-            service: drawTarget(route.targets, Math.random()),
+            service: selectTarget(route.targets, Math.random()),
             priority: table.priorities.levelOf(route, grant?.priority),
             grant,
             charge: charged.charge,
             startedAt,
-            deadlineAt: startedAt + Math.max(0, waitMs - answerTripMs),
-            gone,
+            deadlineAt: startedAt + Math.max(0, waitMs - responseTransitMs),
+            gone: abortSignal,
             tried: [],
             declined: new Set(),
             lost: 0,
@@ -195,42 +189,42 @@
         };
     }
 
-    /** The routes, once they are known; undefined where they are not in time. */
-    private async firstTable(startedAt: number): Promise<RouteTable | undefined> {
+    /** Waits for the first configuration; returns undefined after a timeout. */
+    private async waitForRoutes(startedAt: number): Promise<RouteTable | undefined> {
         const deadline = startedAt + configurationWaitMs;
-        while (this.table === undefined && !this.parts.stopping() && steadyNow() < deadline) {
+        while (this.routeTable === undefined && !this.deps.stopping() && steadyNow() < deadline) {
             await this.configured.wait(deadline - steadyNow());
         }
-        return this.table;
+        return this.routeTable;
     }
 
     private refuse(
         req: IncomingMessage,
         res: ServerResponse,
         id: string | undefined,
-        { answer, retryAfterMs, details }: Refusal,
+        { response, retryAfterMs, details }: Refusal,
     ): void {
-        this.parts.log.warn("request.own-answer", {
+        this.deps.log.warn("request.own-answer", {
             request: id,
-            status: answer.status,
-            reason: answer.reason,
+            status: response.status,
+            reason: response.reason,
             host: headerOf(req.rawHeaders, "host"),
             path: req.url,
-            configuration: this.parts.view.version,
-            viewAgeMs: Math.round(this.parts.view.ageMs),
+            configuration: this.deps.view.version,
+            viewAgeMs: Math.round(this.deps.view.ageMs),
             ...details,
         });
-        // What is left of a body that was not read would be taken for the next request.
-        const unread = !req.complete;
-        const close = unread || this.parts.stopping() || answer === OwnAnswer.unconfirmed;
-        writeOwnAnswer(res, answer, { retryAfterMs, close });
+        // The unread rest of the body would be parsed as the next request.
+        const bodyUnread = !req.complete;
+        const close = bodyUnread || this.deps.stopping() || response === LocalResponse.unconfirmed;
+        writeLocalResponse(res, response, { retryAfterMs, close });
     }
 }
 
-/** Reads a body whole, or gives the answer where it is too large or too slow. */
-async function readBody(req: IncomingMessage, limits: ListenerLimits): Promise<Buffer | OwnAnswer> {
+/** Reads the complete body, or returns the response if it is too large or too slow. */
+async function readBody(req: IncomingMessage, limits: ListenerLimits): Promise<Buffer | LocalResponse> {
     if (Number(req.headers["content-length"] ?? 0) > limits.bodyBytes) {
-        return OwnAnswer.bodyTooLarge;
+        return LocalResponse.bodyTooLarge;
     }
     const chunks: Buffer[] = [];
     let size = 0;
@@ -239,14 +233,14 @@
         for await (const chunk of req.iterator({ destroyOnReturn: false })) {
             size += (chunk as Buffer).length;
             if (size > limits.bodyBytes) {
-                return OwnAnswer.bodyTooLarge;
+                return LocalResponse.bodyTooLarge;
             }
             chunks.push(chunk as Buffer);
         }
     }
     catch {
-        // The caller is gone, or was too slow; there is nobody left to answer.
-        return OwnAnswer.bodyLate;
+        // The client has disconnected or was too slow, so the response is not delivered.
+        return LocalResponse.bodyLate;
     }
     finally {
         clearTimeout(timer);
--- a/packages/forwarding/src/events.ts
+++ b/packages/forwarding/src/events.ts
@@ -1,34 +1,34 @@
-/** Cuts a stream of server-sent events into whole events, so that a broken one is never handed on. */
+/** Splits a stream of server-sent events, so that only complete events are forwarded. */
 
 const lineFeed = 10;
 const carriageReturn = 13;
 
-export interface WholeEvents {
-    /** Bytes up to the end of the last whole event; empty where there is none. */
+export interface CompleteEvents {
+    /** Bytes up to the end of the last complete event; empty if there is none. */
     readonly bytes: Buffer;
-    /** Id of the last whole event that bears one. */
+    /** Id of the last complete event that has one. */
     readonly lastId: string | undefined;
 }
 
 export class EventSplitter {
-    private rest: Buffer = Buffer.alloc(0);
+    private buffered: Buffer = Buffer.alloc(0);
 
-    /** Takes in a chunk, and gives what is whole by now. */
-    public push(chunk: Buffer): WholeEvents {
-        const bytes = this.rest.length === 0 ? chunk : Buffer.concat([this.rest, chunk]);
+    /** Adds a chunk and returns the events that are now complete. */
+    public push(chunk: Buffer): CompleteEvents {
+        const bytes = this.buffered.length === 0 ? chunk : Buffer.concat([this.buffered, chunk]);
         const end = endOfLastEvent(bytes);
-        this.rest = bytes.subarray(end);
+        this.buffered = bytes.subarray(end);
         const whole = bytes.subarray(0, end);
         return { bytes: whole, lastId: end === 0 ? undefined : lastIdIn(whole) };
     }
 
-    /** What came behind the last whole event. */
+    /** Bytes after the last complete event. */
     public get remainder(): Buffer {
-        return this.rest;
+        return this.buffered;
     }
 }
 
-/** An event ends with an empty line. */
+/** Returns the offset after the last blank line, which terminates an event. */
 function endOfLastEvent(bytes: Buffer): number {
     for (let index = bytes.length - 1; index > 0; index--) {
         if (bytes[index] !== lineFeed) {
--- a/packages/forwarding/src/forwarders.ts
+++ b/packages/forwarding/src/forwarders.ts
@@ -1,4 +1,4 @@
-/** What happens to a request between its headers and its final answer. */
+/** Forwards requests to upstreams: selection, waiting, attempts, retries and the final response. */
 import { type RateVerdict } from "@winchpath/availability";
 import { type EventLog, Metrics, steadyNow } from "@winchpath/core";
 import { type Configuration, type EngineSpec } from "@winchpath/declarations";
@@ -6,29 +6,29 @@
 import { EjectionBook } from "@winchpath/routing";
 import { type ServerResponse } from "node:http";
 import { type Admissions, type Refusal } from "./admissions.js";
-import { OwnAnswer } from "./answers.js";
-import { attempt, type AttemptOutcome, silentReason } from "./attempts.js";
+import { LocalResponse } from "./answers.js";
+import { attempt, type AttemptOutcome, headTimeoutReason } from "./attempts.js";
 import { type RetryBudgetOptions } from "./budgets.js";
 import { type AnswerFacts, type RequestCodec } from "./codecs.js";
-import { ageMs, isRepeatable, type Job, ownTokensOf, tokensOf, workOf } from "./jobs.js";
-import { UpstreamJudge } from "./judges.js";
+import { ageMs, isRepeatable, type Job, ownTokensOf, promptEquivalentTokens, tokensOf } from "./jobs.js";
+import { OutcomeRecorder } from "./judges.js";
 import { type UpstreamLink } from "./links.js";
-import { LinkTable } from "./linktables.js";
-import { PaceBook } from "./paces.js";
-import { busyRetryMs, type Obstacle, Patience, silenceMs } from "./patiences.js";
-import { type Choice, Picker } from "./pickers.js";
-import { isLost, Quarantine } from "./quarantines.js";
-import { Replies } from "./replies.js";
-import { Retries } from "./retries.js";
+import { EndpointTable } from "./linktables.js";
+import { ThroughputTable } from "./paces.js";
+import { busyRetryMs, headTimeoutMs, type Unavailable, WaitPolicy } from "./patiences.js";
+import { type Selection, UpstreamSelector } from "./pickers.js";
+import { isConnectionLost, Quarantine } from "./quarantines.js";
+import { Responder } from "./replies.js";
+import { RetryPolicy } from "./retries.js";
 import { UpstreamSignals } from "./signals.js";
-import { WaitingRoom } from "./waitingrooms.js";
+import { WaitQueue } from "./waitingrooms.js";
 
-/** A request that waits looks this often whether waiting is still of use, in milliseconds. */
-const lookAgainMs = 100;
-/** When to come back, to another entry, from one that stops. */
+/** Interval at which a waiting request checks whether to keep waiting, in milliseconds. */
+const recheckIntervalMs = 100;
+/** Retry-After while shutting down, in milliseconds; the client should use another entry. */
 const stoppingRetryMs = 50;
 
-export interface ForwarderParts {
+export interface ForwarderDependencies {
     readonly view: FleetView<Configuration>;
     readonly codec: RequestCodec;
     readonly meter: DemandMeter;
@@ -38,339 +38,362 @@
     readonly budget: RetryBudgetOptions;
     readonly admissions: Admissions;
     readonly crashes: Pick<CrashReporter, "lost" | "succeeded">;
-    /** Whether the process is stopping: answers tell callers to close their connections. */
+    /** Whether the process is shutting down, so that responses close client connections. */
     readonly stopping: () => boolean;
-    /** Makes one try at an upstream; over the network, where none is given. */
+    /** Sends one attempt; replaceable for simulations. */
     readonly send?: typeof attempt;
-    /** Draws from 0 to 1, to choose between upstreams that are alike; the runtime's own, where none is given. */
+    /** Random numbers from 0 to 1 for breaking ties; defaults to Math.random. */
     readonly random?: () => number;
 }
 
-type Place =
+type Assignment =
     | {
         readonly kind: "upstream";
-        readonly link: UpstreamLink;
-        /** Whether the upstream has named no rate, as far as was known then, or a permit was taken. */
+        readonly endpoint: UpstreamLink;
+        /** Whether the upstream had no rate limit when it was selected, or a permit was taken. */
         readonly verdict: RateVerdict;
     }
     | Refusal;
 
-/** Whether the flow goes on with another try. */
-type Verdict = "again" | "done";
+/** Whether the request is attempted again. */
+type NextStep = "again" | "done";
 
 export class Forwarder {
     private readonly ejections = new EjectionBook();
-    private readonly judge: UpstreamJudge;
+    private readonly outcomeRecorder: OutcomeRecorder;
     private readonly quarantine: Quarantine;
     private readonly signals: UpstreamSignals;
-    private readonly links: LinkTable;
-    private readonly picker: Picker;
-    private readonly paces = new PaceBook();
-    private readonly patience: Patience;
-    private readonly room = new WaitingRoom<Place>();
-    private readonly retries: Retries;
-    private readonly replies: Replies;
+    private readonly endpoints: EndpointTable;
+    private readonly upstreamSelector: UpstreamSelector;
+    private readonly throughput = new ThroughputTable();
+    private readonly waitPolicy: WaitPolicy;
+    private readonly waitQueue = new WaitQueue<Assignment>();
+    private readonly retryPolicy: RetryPolicy;
+    private readonly responder: Responder;
 
-    public constructor(private readonly parts: ForwarderParts) {
-        this.judge = new UpstreamJudge(this.ejections, parts.meter, parts.log);
-        this.quarantine = new Quarantine(parts.view, parts.crashes);
-        const { availability } = parts.view;
-        this.signals = new UpstreamSignals({ ...parts, availability });
-        this.links = new LinkTable(parts.view);
-        this.retries = new Retries(parts.view, parts.budget, parts.metrics);
-        this.replies = new Replies({ ...parts, waiting: () => this.room.size });
-        const random = parts.random ?? Math.random;
-        this.patience = new Patience(parts.view, this.links, random);
-        this.picker = new Picker(this.ejections, availability, parts.dataCentre, this.paces, random);
+    public constructor(private readonly deps: ForwarderDependencies) {
+        this.outcomeRecorder = new OutcomeRecorder(this.ejections, deps.meter, deps.log);
+        this.quarantine = new Quarantine(deps.view, deps.crashes);
+        const { availability } = deps.view;
+        this.signals = new UpstreamSignals({ ...deps, availability });
+        this.endpoints = new EndpointTable(deps.view);
+        this.retryPolicy = new RetryPolicy(deps.view, deps.budget, deps.metrics);
+        this.responder = new Responder({ ...deps, waiting: () => this.waitQueue.size });
+        const random = deps.random ?? Math.random;
+        this.waitPolicy = new WaitPolicy(deps.view, this.endpoints, random);
+        this.upstreamSelector = new UpstreamSelector(
+            this.ejections,
+            availability,
+            deps.dataCentre,
+            this.throughput,
+            random,
+        );
     }
 
-    /** Follows what the view knows now, and lets those that wait try again. */
+    /** Applies the current fleet view and lets waiting requests try again. */
     public refresh(): void {
-        this.links.refresh();
-        this.room.pump();
+        this.endpoints.refresh();
+        this.waitQueue.retryAll();
     }
 
     public close(): void {
-        this.links.close();
+        this.endpoints.close();
     }
 
-    /** Serves one request; returns once its final answer was given, or its caller is gone. */
-    public async serve(job: Job, res: ServerResponse): Promise<void> {
-        const refusal = this.quarantine.refusal(job);
+    /** Forwards one request; resolves once the final response was sent or the client has disconnected. */
+    public async serve(request: Job, res: ServerResponse): Promise<void> {
+        const refusal = this.quarantine.refusal(request);
         if (refusal !== undefined) {
-            // Before it counts as demand, earns a retry or waits.
-            this.refuse(job, res, refusal);
-            this.settleCharge(job);
+            // Checked first, so that a quarantined request neither counts as demand nor earns a retry.
+            this.refuse(request, res, refusal);
+            this.refundIfNotRun(request);
             return;
         }
-        this.retries.arrived(job);
-        const key = itemKeyOf(job);
-        this.parts.meter.arrived(key, workOf(job));
-        for (let tries = 0;; tries++) {
-            const place = await this.place(job);
-            if (job.gone.aborted) {
-                this.replies.tell(job, "caller-gone", {});
-                this.settleCharge(job);
+        this.retryPolicy.recordRequest(request);
+        const key = itemKeyOf(request);
+        this.deps.meter.arrived(key, promptEquivalentTokens(request));
+        for (let attemptIndex = 0;; attemptIndex++) {
+            const assignment = await this.assign(request);
+            if (request.gone.aborted) {
+                this.responder.logEvent(request, "caller-gone", {});
+                this.refundIfNotRun(request);
                 return;
             }
-            if (place.kind === "refused") {
-                this.refuse(job, res, place);
-                this.settleCharge(job);
+            if (assignment.kind === "refused") {
+                this.refuse(request, res, assignment);
+                this.refundIfNotRun(request);
                 return;
             }
-            const outcome = await this.tryAt(job, place, res, key, tries);
-            if (this.conclude(job, place.link, outcome, res) === "done") {
-                this.settleCharge(job);
+            const outcome = await this.sendAttempt(request, assignment, res, key, attemptIndex);
+            if (this.handleOutcome(request, assignment.endpoint, outcome, res) === "done") {
+                this.refundIfNotRun(request);
                 return;
             }
         }
     }
 
-    /** What ran nowhere counts against no limit. */
-    private settleCharge(job: Job): void {
-        if (job.tried.length === 0) {
-            job.charge.giveBack();
+    /** Refunds the account if no upstream may have executed the request. */
+    private refundIfNotRun(request: Job): void {
+        if (request.tried.length === 0) {
+            request.charge.giveBack();
         }
     }
 
-    /** Finds an upstream, waiting for one as long as that is of use. */
-    private async place(job: Job): Promise<Place> {
-        const key = itemKeyOf(job);
-        let told = false;
+    /** Selects an upstream, waiting for one as long as that is useful. */
+    private async assign(request: Job): Promise<Assignment> {
+        const key = itemKeyOf(request);
+        let waitReported = false;
         try {
             for (;;) {
-                const barred = this.barred(job);
-                if (barred !== undefined) {
-                    return barred;
+                const denied = this.denial(request);
+                if (denied !== undefined) {
+                    return denied;
                 }
-                const found = this.takePlace(job);
-                if (found.kind === "upstream") {
-                    return found;
+                const result = this.tryAssign(request);
+                if (result.kind === "upstream") {
+                    return result;
                 }
-                if (this.parts.stopping()) {
-                    // Another entry can wait longer than this one.
-                    return { kind: "refused", answer: OwnAnswer.stopping, retryAfterMs: stoppingRetryMs };
+                if (this.deps.stopping()) {
+                    // Another entry can let the request wait longer.
+                    return { kind: "refused", response: LocalResponse.stopping, retryAfterMs: stoppingRetryMs };
                 }
-                if (found.kind === "lacking" && !told) {
-                    told = true;
-                    this.parts.meter.waits(key);
+                if (result.kind === "lacking" && !waitReported) {
+                    waitReported = true;
+                    this.deps.meter.waits(key);
                 }
-                const waitMs = this.patience.waitMs(job, found);
-                if (waitMs <= 0 || job.gone.aborted) {
-                    return this.patience.refusal(job, found);
+                const waitMs = this.waitPolicy.waitMs(request, result);
+                if (waitMs <= 0 || request.gone.aborted) {
+                    return this.waitPolicy.refusal(request, result);
                 }
-                const later = await this.waitForPlace(job, Math.min(waitMs, lookAgainMs));
-                if (later !== undefined) {
-                    return later;
+                const assigned = await this.waitForUpstream(request, Math.min(waitMs, recheckIntervalMs));
+                if (assigned !== undefined) {
+                    return assigned;
                 }
             }
         }
         finally {
-            if (told) {
-                this.parts.meter.waitsNoMore(key);
+            if (waitReported) {
+                this.deps.meter.waitsNoMore(key);
             }
         }
     }
 
-    private waitForPlace(job: Job, ms: number): Promise<Place | undefined> {
-        return this.room.wait(job.priority, ms, job.gone, () => {
-            const now = this.takePlace(job);
-            return now.kind === "upstream" ? now : undefined;
+    private waitForUpstream(request: Job, ms: number): Promise<Assignment | undefined> {
+        return this.waitQueue.wait(request.priority, ms, request.gone, () => {
+            const result = this.tryAssign(request);
+            return result.kind === "upstream" ? result : undefined;
         });
     }
 
-    /** The upstream that the request is about to be sent to; one whose rest is over is taken for others until it answers. */
-    private takePlace(job: Job): Extract<Place, { readonly kind: "upstream"; }> | Obstacle {
-        const choice = this.placeNow(job);
-        if (choice.kind !== "upstream") {
-            return choice;
+    /**
+     * Selects an upstream to send the request to. After a back-off, the upstream receives no other request until it
+     * has responded.
+     */
+    private tryAssign(request: Job): Extract<Assignment, { readonly kind: "upstream"; }> | Unavailable {
+        const selection = this.selectUpstream(request);
+        if (selection.kind !== "upstream") {
+            return selection;
         }
-        const { availability } = this.parts.view;
-        availability.sent(choice.link.id);
-        return { ...choice, verdict: availability.rates.take(choice.link.id) };
+        const { availability } = this.deps.view;
+        availability.sent(selection.endpoint.id);
+        return { ...selection, verdict: availability.rates.take(selection.endpoint.id) };
     }
 
-    private placeNow(job: Job): Choice {
-        return this.picker.pick(job, this.links.ready(job.service), this.engineOf(job.service));
+    private selectUpstream(request: Job): Selection {
+        return this.upstreamSelector.select(
+            request,
+            this.endpoints.ready(request.service),
+            this.engineOf(request.service),
+        );
     }
 
-    private refuse(job: Job, res: ServerResponse, refusal: Refusal): void {
-        if (refusal.answer === OwnAnswer.lacking) {
-            this.parts.meter.refused(itemKeyOf(job));
+    private refuse(request: Job, res: ServerResponse, refusal: Refusal): void {
+        if (refusal.response === LocalResponse.lacking) {
+            this.deps.meter.refused(itemKeyOf(request));
         }
-        if (job.tried.length > 0 && refusal.answer !== OwnAnswer.barred) {
-            // An upstream may have run it: "not run" would not be true.
-            this.replies.answer(job, res, OwnAnswer.failed);
+        if (request.tried.length > 0 && refusal.response !== LocalResponse.barred) {
+            // An upstream may have executed the request, so a "not executed" response would be wrong.
+            this.responder.respond(request, res, LocalResponse.failed);
             return;
         }
-        this.replies.answer(job, res, refusal.answer, refusal.retryAfterMs, refusal.details);
+        this.responder.respond(request, res, refusal.response, refusal.retryAfterMs, refusal.details);
     }
 
-    /** Why a request that was let in must not be sent now; asked again right before each send. */
-    private barred(job: Job): Refusal | undefined {
-        return this.parts.admissions.barred(job.grant) ?? this.quarantine.refusal(job);
+    /** Returns why the request must not be sent any more; checked before every attempt. */
+    private denial(request: Job): Refusal | undefined {
+        return this.deps.admissions.denial(request.grant) ?? this.quarantine.refusal(request);
     }
 
-    private async tryAt(
-        job: Job,
-        { link, verdict }: Extract<Place, { readonly kind: "upstream"; }>,
+    private async sendAttempt(
+        request: Job,
+        { endpoint, verdict }: Extract<Assignment, { readonly kind: "upstream"; }>,
         res: ServerResponse,
         key: ItemKey,
-        tries: number,
+        attemptIndex: number,
     ): Promise<AttemptOutcome> {
-        const { meter, codec, stopping } = this.parts;
+        const { meter, codec, stopping } = this.deps;
         const startedAt = steadyNow();
-        let head: AnswerFacts | undefined;
-        let firstMs: number | undefined;
-        let pauseMs = 0;
-        const stay = link.begin(job.priority, ownTokensOf(job), tokensOf(job));
+        let responseMetadata: AnswerFacts | undefined;
+        let firstByteMs: number | undefined;
+        let longestPauseMs = 0;
+        const tracked = endpoint.track(request.priority, ownTokensOf(request), tokensOf(request));
         meter.started(key);
-        this.ejections.sent(link.id);
-        job.tried.push(link.id);
+        this.ejections.sent(endpoint.id);
+        request.tried.push(endpoint.id);
         try {
-            const outcome = await (this.parts.send ?? attempt)(job, link, {
+            const outcome = await (this.deps.send ?? attempt)(request, endpoint, {
                 codec,
                 res,
-                urgency: this.engineOf(job.service) === undefined ? undefined : Math.min(9, job.priority),
-                keysAreOurs: this.parts.view.configuration?.accounts !== undefined,
+                urgency: this.engineOf(request.service) === undefined ? undefined : Math.min(9, request.priority),
+                keysAreOurs: this.deps.view.configuration?.accounts !== undefined,
                 closing: stopping,
-                maySend: () => this.maySend(job, link, verdict),
-                silentAfterMs: this.silentAfterMs(job, stay.tokensAhead),
+                maySend: () => this.maySend(request, endpoint, verdict),
+                headTimeoutMs: this.headTimeoutMs(request, tracked.tokensAhead),
                 onPause: ms => {
-                    pauseMs = Math.max(pauseMs, ms);
+                    longestPauseMs = Math.max(longestPauseMs, ms);
                 },
-                onHead: facts => {
-                    head = facts;
-                    this.signals.take(job, link, facts, startedAt);
+                onHead: metadata => {
+                    responseMetadata = metadata;
+                    this.signals.handle(request, endpoint, metadata, startedAt);
                 },
                 onAnswer: () => {
-                    firstMs = Math.round(ageMs(job));
-                    stay.read();
-                    this.learnPace(job, stay.tokensAhead, steadyNow() - startedAt);
-                    this.parts.metrics.histogram("first_byte", { route: job.route.name }).record(ageMs(job));
+                    firstByteMs = Math.round(ageMs(request));
+                    tracked.markPromptRead();
+                    this.recordThroughput(request, tracked.tokensAhead, steadyNow() - startedAt);
+                    this.deps.metrics.histogram("first_byte", { route: request.route.name }).record(ageMs(request));
                 },
             });
-            if (firstMs === undefined && isSilent(outcome)) {
-                // The connection may be what is silent, and the idle ones beside it.
-                link.renewConnections();
+            if (firstByteMs === undefined && timedOutWithoutResponse(outcome)) {
+                // The connection may be dead, and so may the idle ones of the same pool.
+                endpoint.renewConnections();
             }
-            const ranMs = firstMs === undefined ? undefined : Math.round(ageMs(job)) - firstMs;
-            this.quarantine.take(job, link, outcome, { sentAt: startedAt, ranMs });
-            this.replies.tell(job, "attempt", {
-                upstream: link.id,
-                try: tries + 1,
-                load: Math.round(link.load),
-                viewAgeMs: Math.round(this.parts.view.ageMs),
+            const ranMs = firstByteMs === undefined ? undefined : Math.round(ageMs(request)) - firstByteMs;
+            this.quarantine.recordOutcome(request, endpoint, outcome, { sentAt: startedAt, ranMs });
+            this.responder.logEvent(request, "attempt", {
+                upstream: endpoint.id,
+                try: attemptIndex + 1,
+                load: Math.round(endpoint.load),
+                viewAgeMs: Math.round(this.deps.view.ageMs),
                 outcome: outcome.kind,
                 reason: "reason" in outcome ? outcome.reason : undefined,
-                firstMs,
-                longestPauseMs: pauseMs === 0 ? undefined : Math.round(pauseMs),
-                // Tells equal requests by, and how long one had been running, where upstreams end under it.
-                fingerprint: isLost(outcome) ? this.quarantine.fingerprint(job) : undefined,
-                ranMs: isLost(outcome) ? ranMs : undefined,
-                // What the upstream said of itself in this answer.
-                leaving: head?.leaving || undefined,
-                restMs: head?.restMs,
-                limitPerSecond: head?.limitPerSecond,
+                firstMs: firstByteMs,
+                longestPauseMs: longestPauseMs === 0 ? undefined : Math.round(longestPauseMs),
+                // Identifies the request in crash reports.
+                fingerprint: isConnectionLost(outcome) ? this.quarantine.fingerprint(request) : undefined,
+                ranMs: isConnectionLost(outcome) ? ranMs : undefined,
+                leaving: responseMetadata?.leaving || undefined,
+                restMs: responseMetadata?.restMs,
+                limitPerSecond: responseMetadata?.limitPerSecond,
                 tookMs: Math.round(steadyNow() - startedAt),
             });
             return outcome;
         }
         finally {
-            stay.end();
+            tracked.finish();
             meter.ended(key);
-            this.room.pump();
+            this.waitQueue.retryAll();
         }
     }
 
-    /** What waited for a connection while the upstream named a rate needs a permit now. */
-    private maySend(job: Job, link: UpstreamLink, verdict: RateVerdict): boolean {
-        return this.links.isReady(link) && this.barred(job) === undefined
-            && (verdict === "permitted" || this.parts.view.availability.rates.take(link.id) !== "refused");
+    /** Checks again once a connection is available: the upstream may have set a rate limit while the request waited. */
+    private maySend(request: Job, endpoint: UpstreamLink, verdict: RateVerdict): boolean {
+        return this.endpoints.isReady(endpoint) && this.denial(request) === undefined
+            && (verdict === "permitted" || this.deps.view.availability.rates.take(endpoint.id) !== "refused");
     }
 
-    /** Undefined where the request may not be repeated, or has been sent as often as it may be. */
-    private silentAfterMs(job: Job, tokensAhead: number): number | undefined {
-        if (!isRepeatable(job) || job.tried.length >= job.route.maxAttempts) {
+    /** Undefined if the request must not be repeated, or has no attempts left. */
+    private headTimeoutMs(request: Job, tokensAhead: number): number | undefined {
+        if (!isRepeatable(request) || request.tried.length >= request.route.maxAttempts) {
             return undefined;
         }
-        return silenceMs(job, this.paces.durationMs(job.service, job.facts.model, tokensAhead));
+        return headTimeoutMs(request, this.throughput.durationMs(request.service, request.facts.model, tokensAhead));
     }
 
-    private learnPace(job: Job, tokens: number, ms: number): void {
-        const { model } = job.facts;
-        this.paces.learn(job.service, model, tokens, ms);
-        const pace = this.paces.tokensPerSecond(job.service, model);
-        if (pace !== undefined && this.engineOf(job.service) !== undefined) {
-            this.parts.meter.paceOf(job.service, model, pace);
+    private recordThroughput(request: Job, tokens: number, ms: number): void {
+        const { model } = request.facts;
+        this.throughput.addSample(request.service, model, tokens, ms);
+        const tokensPerSecond = this.throughput.tokensPerSecond(request.service, model);
+        if (tokensPerSecond !== undefined && this.engineOf(request.service) !== undefined) {
+            this.deps.meter.paceOf(request.service, model, tokensPerSecond);
         }
     }
 
-    private conclude(job: Job, link: UpstreamLink, outcome: AttemptOutcome, res: ServerResponse): Verdict {
-        this.judge.take(job, link.id, outcome);
+    private handleOutcome(
+        request: Job,
+        endpoint: UpstreamLink,
+        outcome: AttemptOutcome,
+        res: ServerResponse,
+    ): NextStep {
+        this.outcomeRecorder.record(request, endpoint.id, outcome);
         switch (outcome.kind) {
             case "answered":
-                this.replies.count(job, "answered");
+                this.responder.recordMetrics(request, "answered");
                 return "done";
             case "caller-gone":
-                this.replies.count(job, "caller-gone");
+                this.responder.recordMetrics(request, "caller-gone");
                 return "done";
             case "late":
-                this.replies.answer(job, res, OwnAnswer.late);
+                this.responder.respond(request, res, LocalResponse.late);
                 return "done";
             case "not-run":
-                job.tried.splice(job.tried.lastIndexOf(link.id), 1);
-                job.declined.add(link.id);
-                return this.afterDeclined(job, res);
+                request.tried.splice(request.tried.lastIndexOf(endpoint.id), 1);
+                request.declined.add(endpoint.id);
+                return this.handleDeclined(request, res);
             case "failure":
-                if (isRepeatable(job) && outcome.answer.status >= 500 && this.retries.takeAfterFailure(job)) {
+                if (
+                    isRepeatable(request) && outcome.response.status >= 500
+                    && this.retryPolicy.acquireAfterFailure(request)
+                ) {
                     return "again";
                 }
-                this.replies.handOn(job, res, outcome.answer);
+                this.responder.forward(request, res, outcome.response);
                 return "done";
             case "unknown":
             case "broken":
-                return this.afterFailed(job, res, outcome.kind === "broken");
+                return this.handleFailed(request, res, outcome.kind === "broken");
         }
     }
 
-    private afterDeclined(job: Job, res: ServerResponse): Verdict {
-        const barred = this.barred(job);
-        if (barred !== undefined) {
-            this.refuse(job, res, barred);
+    private handleDeclined(request: Job, res: ServerResponse): NextStep {
+        const denied = this.denial(request);
+        if (denied !== undefined) {
+            this.refuse(request, res, denied);
             return "done";
         }
-        const next = this.placeNow(job);
-        if ((next.kind === "resting" || next.kind === "limited") && this.patience.waitMs(job, next) <= 0) {
-            // Without taking a retry that another request could use.
-            this.refuse(job, res, this.patience.refusal(job, next));
+        const next = this.selectUpstream(request);
+        if ((next.kind === "resting" || next.kind === "limited") && this.waitPolicy.waitMs(request, next) <= 0) {
+            // Refused before a retry is taken from the budget.
+            this.refuse(request, res, this.waitPolicy.refusal(request, next));
             return "done";
         }
-        if (this.retries.takeAfterDecline(job)) {
+        if (this.retryPolicy.acquireAfterDecline(request)) {
             return "again";
         }
-        this.refuse(job, res, { kind: "refused", answer: OwnAnswer.declined, retryAfterMs: busyRetryMs });
+        this.refuse(request, res, { kind: "refused", response: LocalResponse.declined, retryAfterMs: busyRetryMs });
         return "done";
     }
 
-    private afterFailed(job: Job, res: ServerResponse, broken: boolean): Verdict {
-        const resumable = !broken || (job.route.resumable && job.lastEventId !== undefined);
-        if (isRepeatable(job) && resumable && this.quarantine.mayTryAgain(job) && this.retries.takeAfterFailure(job)) {
+    private handleFailed(request: Job, res: ServerResponse, broken: boolean): NextStep {
+        const resumable = !broken || (request.route.resumable && request.lastEventId !== undefined);
+        if (
+            isRepeatable(request) && resumable && this.quarantine.isRetryAllowed(request)
+            && this.retryPolicy.acquireAfterFailure(request)
+        ) {
             return "again";
         }
-        this.replies.answer(job, res, OwnAnswer.failed);
+        this.responder.respond(request, res, LocalResponse.failed);
         return "done";
     }
 
     private engineOf(service: string): EngineSpec | undefined {
-        return this.parts.view.configuration?.services.find(({ name }) => name === service)?.engine;
+        return this.deps.view.configuration?.services.find(({ name }) => name === service)?.engine;
     }
 }
 
-function isSilent(outcome: AttemptOutcome): boolean {
-    return outcome.kind === "late" || (outcome.kind === "unknown" && outcome.reason === silentReason);
+function timedOutWithoutResponse(outcome: AttemptOutcome): boolean {
+    return outcome.kind === "late" || (outcome.kind === "unknown" && outcome.reason === headTimeoutReason);
 }
 
-function itemKeyOf(job: Job): ItemKey {
-    return { service: job.service, model: job.facts.model, adapter: job.facts.adapter };
+function itemKeyOf(request: Job): ItemKey {
+    return { service: request.service, model: request.facts.model, adapter: request.facts.adapter };
 }
--- a/packages/forwarding/src/heldanswers.ts
+++ b/packages/forwarding/src/heldanswers.ts
@@ -1,39 +1,38 @@
-/** Answers of upstreams that were read whole before any of them is handed on. */
+/** Upstream responses that are read completely before they are forwarded. */
 import { type ServerResponse } from "node:http";
 import { headerOf, withoutConnectionHeaders } from "./codecs.js";
 
-/** An answer of an upstream that was read whole. */
-export interface HeldAnswer {
+export interface BufferedResponse {
     readonly status: number;
     readonly headers: readonly string[];
     readonly body: Buffer;
 }
 
-/** Hands on an answer that was read whole. */
-export function writeHeldAnswer(res: ServerResponse, answer: HeldAnswer, close: boolean): void {
-    const headers = withoutLength(withoutConnectionHeaders(answer.headers));
-    const framed = isFramed(answer.headers);
-    if (framed) {
-        headers.push("Content-Length", String(answer.body.length));
+/** Forwards a buffered response. */
+export function writeBufferedResponse(res: ServerResponse, response: BufferedResponse, close: boolean): void {
+    const headers = withoutContentLength(withoutConnectionHeaders(response.headers));
+    const hasLength = hasExplicitLength(response.headers);
+    if (hasLength) {
+        headers.push("Content-Length", String(response.body.length));
     }
     else {
-        // Nobody knows whether it is whole, so it must not look more whole than it came.
+        // The body may be truncated, so it is forwarded without a length, as it was received.
         res.useChunkedEncodingByDefault = false;
     }
-    if (close || !framed) {
+    if (close || !hasLength) {
         headers.push("Connection", "close");
     }
-    res.writeHead(answer.status, headers);
-    res.end(answer.body);
+    res.writeHead(response.status, headers);
+    res.end(response.body);
 }
 
-/** Whether an answer tells where it ends; otherwise it ends with its connection. */
-export function isFramed(headers: readonly string[]): boolean {
+/** Whether the headers delimit the body; otherwise it ends when the connection closes. */
+export function hasExplicitLength(headers: readonly string[]): boolean {
     return headerOf(headers, "content-length") !== undefined || headerOf(headers, "transfer-encoding") !== undefined;
 }
 
-/** Headers without the length of the body. */
-export function withoutLength(headers: readonly string[]): string[] {
+/** Returns the headers without Content-Length. */
+export function withoutContentLength(headers: readonly string[]): string[] {
     const kept: string[] = [];
     for (let index = 0; index < headers.length; index += 2) {
         if (headers[index].toLowerCase() !== "content-length") {
--- a/packages/forwarding/src/jobs.ts
+++ b/packages/forwarding/src/jobs.ts
@@ -1,17 +1,17 @@
-/** One request of a caller on its way. */
+/** A client's request and its state while it is being forwarded. */
 import { type Charge, type Grant } from "@winchpath/accounts";
 import { steadyNow } from "@winchpath/core";
 import { type Route } from "@winchpath/declarations";
 import { type RequestIdentity } from "@winchpath/quarantine";
 import { type RawHeaders, type RequestFacts } from "./codecs.js";
 
-/** A request with its body, and what was found out about it. */
+/** A request with its body, metadata and forwarding state. */
 export interface Job {
     readonly id: string;
     readonly method: string;
-    /** As the caller wrote it. */
+    /** Host header as sent by the client. */
     readonly host: string;
-    /** Path and query, as the caller wrote them. */
+    /** Path and query as sent by the client. */
     readonly url: string;
     readonly headers: RawHeaders;
     readonly body: Buffer;
@@ -20,85 +20,85 @@
     readonly service: string;
     /** 0 is the most urgent. */
     readonly priority: number;
-    /** Whose request it is; undefined where nobody has to be known. */
+    /** Account access granted to the client; undefined on public routes. */
     readonly grant: Grant | undefined;
-    /** What it took of its account's limit. */
+    /** Amount charged to the account's limit. */
     readonly charge: Charge;
-    /** Steady time at which its headers were read. */
+    /** Monotonic time at which the headers were read. */
     readonly startedAt: number;
-    /** Steady time by which the final answer goes out: the caller's deadline or the route's timeout. */
+    /** Monotonic time by which the final response is sent, from the client's deadline and the route's timeout. */
     readonly deadlineAt: number;
-    /** Aborted when the caller is gone. */
+    /** Aborted when the client disconnects. */
     readonly gone: AbortSignal;
-    /** Upstreams that were sent the request and may have run it. */
+    /** Upstreams that may have executed the request. */
     readonly tried: string[];
-    /** Upstreams that stated that they have not run it. */
+    /** Upstreams that declined the request without executing it. */
     readonly declined: Set<string>;
-    /** Upstreams whose connections were lost under it. */
+    /** Number of attempts during which the connection to the upstream was lost. */
     lost: number;
-    /** Last event that the caller has got whole. */
+    /** Id of the last event that was forwarded completely. */
     lastEventId: string | undefined;
-    /** Whether part of an answer has gone out. */
+    /** Whether part of a response has been sent to the client. */
     answerStarted: boolean;
 }
 
-/** What makes it the same request as another. */
+/** Returns the attributes by which repeated requests are recognized. */
 export function identityOf({ method, host, url, grant, body }: Job): RequestIdentity {
     return { method, host, url, account: grant?.account, body };
 }
 
-/** Whether the request may run more than once. */
-export function isRepeatable(job: Job): boolean {
-    const { kind, resumable } = job.route;
+/** Whether the request may be executed more than once. */
+export function isRepeatable(request: Job): boolean {
+    const { kind, resumable } = request.route;
     return kind === "safe" || (kind === "streaming" && resumable);
 }
 
-export function leftMs(job: Job): number {
-    return job.deadlineAt - steadyNow();
+export function leftMs(request: Job): number {
+    return request.deadlineAt - steadyNow();
 }
 
-/** A caller leaves a stream, also before its first event, after the longest of these silences. */
-const shortestSilenceMs = 2000;
-const silenceObjectives = 4;
-const silencePauses = 8;
+/** Clients give up a silent stream after the longest of these times. */
+const minClientTimeoutMs = 2000;
+const clientTimeoutObjectives = 4;
+const clientTimeoutPauses = 8;
 
-/** Time in milliseconds that is left for a first event, before the caller gives the request up. */
-export function patienceLeftMs(job: Job): number {
-    const { kind, objectiveMs, pauseMs } = job.route;
+/** Returns the time left for the first event before the client gives up, in milliseconds. */
+export function firstEventRemainingMs(request: Job): number {
+    const { kind, objectiveMs, pauseMs } = request.route;
     if (kind !== "streaming") {
-        return leftMs(job);
+        return leftMs(request);
     }
-    const silenceMs = Math.max(shortestSilenceMs, silenceObjectives * objectiveMs, silencePauses * pauseMs);
-    return Math.min(leftMs(job), silenceMs - ageMs(job));
+    const clientTimeoutMs = Math.max(
+        minClientTimeoutMs,
+        clientTimeoutObjectives * objectiveMs,
+        clientTimeoutPauses * pauseMs,
+    );
+    return Math.min(leftMs(request), clientTimeoutMs - ageMs(request));
 }
 
-export function ageMs(job: Job): number {
-    return steadyNow() - job.startedAt;
+export function ageMs(request: Job): number {
+    return steadyNow() - request.startedAt;
 }
 
-/** Tokens that the request is likely to need in an engine's cache; parts that others bring too are there once. */
-export function tokensOf(job: Job): number {
-    return ownTokensOf(job) + outputTokensOf(job);
+/** Estimates the tokens that the request occupies in an engine's cache; shared prompt segments are cached once. */
+export function tokensOf(request: Job): number {
+    return ownTokensOf(request) + estimateOutputTokens(request);
 }
 
-/**
- * A generated token takes an engine about as long as this many tokens of a
- * prompt: a step of 9 ms makes one for each of some 16 requests, and the same
- * engine reads 19 tokens of a prompt in a millisecond.
- */
+/** Time to generate one output token, expressed in prompt tokens. */
 const promptTokensPerOutput = 10;
 
-/** What a request needs of an engine's time, in tokens of a prompt. */
-export function workOf(job: Job): number {
-    return ownTokensOf(job) + outputTokensOf(job) * promptTokensPerOutput;
+/** Estimates the engine time that a request needs, in prompt tokens. */
+export function promptEquivalentTokens(request: Job): number {
+    return ownTokensOf(request) + estimateOutputTokens(request) * promptTokensPerOutput;
 }
 
-/** Tokens of the prompt that no other request brings: these are read in any case. */
-export function ownTokensOf(job: Job): number {
-    return job.facts.parts.at(-1)?.tokens ?? job.facts.promptTokens;
+/** Tokens of the prompt that are not shared with other requests and therefore always processed. */
+export function ownTokensOf(request: Job): number {
+    return request.facts.parts.at(-1)?.tokens ?? request.facts.promptTokens;
 }
 
-function outputTokensOf(job: Job): number {
-    const { likelyOutputTokens, maxOutputTokens } = job.facts;
+function estimateOutputTokens(request: Job): number {
+    const { likelyOutputTokens, maxOutputTokens } = request.facts;
     return Math.min(likelyOutputTokens ?? maxOutputTokens, maxOutputTokens);
 }
--- a/packages/forwarding/src/judges.ts
+++ b/packages/forwarding/src/judges.ts
@@ -1,36 +1,36 @@
-/** What the end of a try says of its upstream: to this entry's own ejections, and to the leader. */
+/** Reports the outcome of attempts to the local ejection list and to the leader. */
 import { type EventLog } from "@winchpath/core";
 import { type DemandMeter } from "@winchpath/fleet";
 import { type EjectionBook } from "@winchpath/routing";
 import { type AttemptOutcome } from "./attempts.js";
 import { ageMs, type Job } from "./jobs.js";
 
-/** Without a first event for so many times the objective, an upstream counts as silent: callers leave then. */
-const silentObjectives = 2;
+/** Multiple of the objective after which a missing first event counts as a failure of the upstream. */
+const firstByteObjectives = 2;
 
-export class UpstreamJudge {
+export class OutcomeRecorder {
     public constructor(
         private readonly ejections: EjectionBook,
         private readonly meter: DemandMeter,
         private readonly log: EventLog,
     ) {}
 
-    public take(job: Job, upstream: string, outcome: AttemptOutcome): void {
-        this.eject(job, upstream, outcome);
-        const failed = failedThere(job, outcome);
+    public record(request: Job, upstream: string, outcome: AttemptOutcome): void {
+        this.updateEjections(request, upstream, outcome);
+        const failed = upstreamFailed(request, outcome);
         if (failed !== undefined) {
-            // All entries together see what one alone sees too seldom.
+            // The leader detects failure rates that are too low for a single entry to notice.
             this.meter.outcome(upstream, failed);
         }
     }
 
-    private eject(job: Job, upstream: string, outcome: AttemptOutcome): void {
+    private updateEjections(request: Job, upstream: string, outcome: AttemptOutcome): void {
         switch (outcome.kind) {
             case "answered":
                 this.ejections.succeeded(upstream);
                 return;
             case "not-run":
-                this.takeNotRun(job, upstream, outcome);
+                this.recordNotRun(request, upstream, outcome);
                 return;
             case "failure":
             case "unknown":
@@ -44,9 +44,13 @@
         }
     }
 
-    private takeNotRun(job: Job, upstream: string, outcome: AttemptOutcome & { readonly kind: "not-run"; }): void {
+    private recordNotRun(
+        request: Job,
+        upstream: string,
+        outcome: AttemptOutcome & { readonly kind: "not-run"; },
+    ): void {
         if (outcome.misdirected) {
-            const { model, adapter } = job.facts;
+            const { model, adapter } = request.facts;
             this.meter.mismatch({ $typeName: "winchpath.fleet.v1.Mismatch", upstream, model, adapter });
         }
         if (outcome.unreachable) {
@@ -57,19 +61,21 @@
     }
 }
 
-/** Whether the upstream failed the request; undefined where the outcome doesn't say. */
-function failedThere(job: Job, outcome: AttemptOutcome): boolean | undefined {
+/** Whether the upstream failed the request; undefined if the outcome is inconclusive. */
+function upstreamFailed(request: Job, outcome: AttemptOutcome): boolean | undefined {
     switch (outcome.kind) {
         case "answered":
             return false;
         case "failure":
-            return outcome.answer.status >= 500;
+            return outcome.response.status >= 500;
         case "unknown":
         case "broken":
             return true;
         case "late":
         case "caller-gone":
-            return !job.answerStarted && ageMs(job) > job.route.objectiveMs * silentObjectives ? true : undefined;
+            return !request.answerStarted && ageMs(request) > request.route.objectiveMs * firstByteObjectives
+                ? true
+                : undefined;
         case "not-run":
             return undefined;
     }
--- a/packages/forwarding/src/links.ts
+++ b/packages/forwarding/src/links.ts
@@ -1,63 +1,65 @@
-/** What an entry knows and uses of one upstream: its connections, and how busy it is. */
+/** Connections of an entry to one upstream, and an estimate of the upstream's load. */
 import { steadyNow } from "@winchpath/core";
 import { type Upstream } from "@winchpath/fleet";
 import { Pool } from "undici";
 import { type ReportedLoad } from "./codecs.js";
-import { ConnectionEnds, upstreamConnector } from "./connectors.js";
+import { ResetDetector, upstreamConnector } from "./connectors.js";
 
-/** A connection that is not established by then is given up; round trips take a few milliseconds at most. */
+/** Timeout for establishing a connection. */
 const connectTimeoutMs = 400;
-/** Idle connections are kept this long where the upstream names no time of its own. */
+/** How long idle connections are kept if the upstream does not send a keep-alive timeout. */
 const keepAliveMs = 20_000;
-/** Idle connections are closed this much before the upstream would, so that no request crosses the close. */
+/**
+ * Idle connections are closed this long before the upstream does, to avoid sending requests on a closing connection.
+ */
 const keepAliveMarginMs = 700;
-/** What others run there is taken to have ended this long after it was reported. */
-const reportLifeMs = 2500;
+/** Time over which a load report from the upstream decays to zero. */
+const reportLifetimeMs = 2500;
 
-/** A request that generates slows those that are read as this many tokens of a prompt would. */
-const tokensPerRunning = 80;
+/** Slowdown of prompt processing by each running request, in prompt tokens. */
+const tokensPerRunningRequest = 80;
 
-/** A request's time at an upstream. */
-export interface Stay {
-    /** Tokens of prompts that are read before its first event, its own among them. */
+/** A request in flight at an upstream. */
+export interface TrackedRequest {
+    /** Prompt tokens to process before the first event, including the request's own. */
     readonly tokensAhead: number;
-    /** Its prompt was read. */
-    readonly read: () => void;
-    readonly end: () => void;
+    /** Records that the prompt has been processed. */
+    readonly markPromptRead: () => void;
+    readonly finish: () => void;
 }
 
 export class UpstreamLink {
     public readonly id: string;
-    public readonly ends = new ConnectionEnds();
+    public readonly resetDetector = new ResetDetector();
     private running = 0;
     private runningTokens = 0;
-    /** Prompts of this entry that it has not begun to answer, in tokens, by priority. */
-    private readonly unread = new Map<number, number>();
+    /** Unprocessed prompt tokens of this entry's requests, by priority. */
+    private readonly unreadTokens = new Map<number, number>();
     private othersRunning = 0;
     private othersWaiting = 0;
     private reportedAt = Number.NEGATIVE_INFINITY;
-    private known: Upstream;
-    private opened: Pool | undefined;
+    private current: Upstream;
+    private openedPool: Pool | undefined;
 
-    /** `connections`: how many may be open at once. */
+    /** `connections`: maximum number of open connections. */
     public constructor(upstream: Upstream, private readonly connections: number) {
         this.id = upstream.id;
-        this.known = upstream;
+        this.current = upstream;
     }
 
-    /** Its connections. An entry of a large fleet uses few of its upstreams, so they are made at the first use. */
+    /** Connection pool, created on first use because an entry of a large fleet uses few upstreams. */
     public get pool(): Pool {
-        this.opened ??= this.openPool();
-        return this.opened;
+        this.openedPool ??= this.openPool();
+        return this.openedPool;
     }
 
     /**
-     * Lets requests from now on use new connections: connections may go silent for good without
-     * a reset, many at the same moment, and each would cost a request. What runs goes on.
+     * Replaces the connection pool after a connection went silent without a reset, since other idle connections may be
+     * dead too. Running requests continue on the old pool.
      */
     public renewConnections(): void {
         this.closePool();
-        this.opened = undefined;
+        this.openedPool = undefined;
     }
 
     public get upstream(): string {
@@ -65,103 +67,105 @@
     }
 
     public get description(): Upstream {
-        return this.known;
+        return this.current;
     }
 
     public update(upstream: Upstream): void {
-        this.known = upstream;
+        this.current = upstream;
     }
 
-    /** Takes in how busy the upstream said that it is. */
-    public report(load: ReportedLoad): void {
+    /** Updates the load caused by other entries from a report of the upstream. */
+    public updateReportedLoad(load: ReportedLoad): void {
         const others = Math.max(0, load.running + load.waiting - this.inFlight);
         this.othersWaiting = Math.min(others, load.waiting);
         this.othersRunning = others - this.othersWaiting;
         this.reportedAt = steadyNow();
     }
 
-    /** Requests of this entry that run there. */
+    /** Requests of this entry that are running on the upstream. */
     public get inFlight(): number {
         return this.running;
     }
 
-    /** Tokens that those are likely to need in its cache. */
+    /** Tokens that those requests are expected to need in the engine's cache. */
     public get tokensInFlight(): number {
         return this.runningTokens;
     }
 
-    /** A request goes there: `ownTokens` of its prompt have to be read, and `tokens` are needed in all. */
-    public begin(priority: number, ownTokens: number, tokens: number): Stay {
-        const tokensAhead = this.queueAhead(priority, ownTokens) + ownTokens;
+    /** Tracks a new request with `ownTokens` of unshared prompt and `tokens` in total. */
+    public track(priority: number, ownTokens: number, tokens: number): TrackedRequest {
+        const tokensAhead = this.queuedTokensAhead(priority, ownTokens) + ownTokens;
         let unread = ownTokens;
-        const read = () => {
-            this.addUnread(priority, -unread);
+        const markPromptRead = () => {
+            this.addUnreadTokens(priority, -unread);
             unread = 0;
         };
-        this.addUnread(priority, ownTokens);
+        this.addUnreadTokens(priority, ownTokens);
         this.running += 1;
         this.runningTokens += tokens;
-        const end = () => {
-            read();
+        const finish = () => {
+            markPromptRead();
             this.running -= 1;
             this.runningTokens -= tokens;
         };
-        return { tokensAhead, read, end };
+        return { tokensAhead, markPromptRead, finish };
     }
 
     /**
-     * What a request of this priority finds before it, in tokens of a prompt:
-     * prompts that are as urgent, and a little for each request that runs.
-     * `perRequest`: how much of a prompt others' waiting requests bring.
+     * Estimates the work queued ahead of a request of this priority, in prompt tokens: unprocessed prompts of the same
+     * or a higher priority, and the slowdown by running requests. `tokensPerWaitingRequest`: estimate for requests of
+     * other entries.
      */
-    public queueAhead(priority: number, perRequest: number): number {
-        let tokens = this.running * tokensPerRunning;
-        for (const [other, unread] of this.unread) {
+    public queuedTokensAhead(priority: number, tokensPerWaitingRequest: number): number {
+        let tokens = this.running * tokensPerRunningRequest;
+        for (const [other, unread] of this.unreadTokens) {
             tokens += other <= priority ? unread : 0;
         }
-        return tokens + this.freshness * (this.othersWaiting * perRequest + this.othersRunning * tokensPerRunning);
+        return tokens
+            + this.reportWeight
+                * (this.othersWaiting * tokensPerWaitingRequest + this.othersRunning * tokensPerRunningRequest);
     }
 
-    /** Requests that run or wait there: this entry's, and others' as last reported and fading since. */
+    /** Running and waiting requests: those of this entry, and those of other entries as last reported. */
     public get load(): number {
-        return this.inFlight + (this.othersRunning + this.othersWaiting) * this.freshness;
+        return this.inFlight + (this.othersRunning + this.othersWaiting) * this.reportWeight;
     }
 
-    /** How much of a report still holds, from 1 to 0. */
-    private get freshness(): number {
-        return Math.max(0, 1 - (steadyNow() - this.reportedAt) / reportLifeMs);
+    /** Weight of the last load report; decays from 1 to 0. */
+    private get reportWeight(): number {
+        return Math.max(0, 1 - (steadyNow() - this.reportedAt) / reportLifetimeMs);
     }
 
-    private addUnread(priority: number, tokens: number): void {
-        this.unread.set(priority, (this.unread.get(priority) ?? 0) + tokens);
+    private addUnreadTokens(priority: number, tokens: number): void {
+        this.unreadTokens.set(priority, (this.unreadTokens.get(priority) ?? 0) + tokens);
     }
 
-    /** Closes its connections once what runs has ended. */
+    /** Closes the connections once running requests have ended. */
     public close(): void {
         this.closePool();
     }
 
-    /** Cuts its connections: the incarnation is over, and what ran there has no other end. */
-    public cut(): void {
-        this.opened?.destroy(new Error("the upstream has started anew")).catch(() => undefined);
+    /** Closes the connections immediately, since a restarted upstream will never respond to running requests. */
+    public destroyConnections(): void {
+        this.openedPool?.destroy(new Error("upstream restarted")).catch(() => undefined);
     }
 
     private openPool(): Pool {
-        return new Pool(`http://${this.known.address}`, {
+        return new Pool(`http://${this.current.address}`, {
             connections: this.connections,
             pipelining: 1,
-            connect: upstreamConnector(connectTimeoutMs, this.ends),
+            connect: upstreamConnector(connectTimeoutMs, this.resetDetector),
             keepAliveTimeout: keepAliveMs,
             keepAliveMaxTimeout: keepAliveMs * 10,
             keepAliveTimeoutThreshold: keepAliveMarginMs,
-            // The forwarder keeps the deadlines; a silent upstream may still be at work.
+            // The forwarder enforces the deadlines; an upstream may be silent while it is working.
             headersTimeout: 0,
             bodyTimeout: 0,
         });
     }
 
     private closePool(): void {
-        // Requests that run end by themselves or with their deadlines; an error here concerns nobody.
-        this.opened?.close().catch(() => undefined);
+        // Running requests report their own errors.
+        this.openedPool?.close().catch(() => undefined);
     }
 }
--- a/packages/forwarding/src/linktables.ts
+++ b/packages/forwarding/src/linktables.ts
@@ -1,72 +1,72 @@
-/** The upstreams that an entry may send to. */
+/** Upstreams that an entry can send requests to. */
 import { type Configuration } from "@winchpath/declarations";
 import { type FleetView, succeeds, type Upstream, UpstreamState } from "@winchpath/fleet";
 import { UpstreamLink } from "./links.js";
 
-/** Connections to an upstream that an entry may open, whatever its share of them would be. */
-const fewestConnections = 4;
-/** Share of an upstream's connections that all entries use together. */
+/** Minimum number of connections per entry and upstream. */
+const minConnections = 4;
+/** Fraction of an upstream's maximum connections that all entries together may open. */
 const connectionShare = 0.8;
 
-export class LinkTable {
-    private readonly links = new Map<string, UpstreamLink>();
+export class EndpointTable {
+    private readonly endpoints = new Map<string, UpstreamLink>();
 
     public constructor(private readonly view: FleetView<Configuration>) {}
 
-    /** Follows what the view knows now. */
+    /** Applies the current fleet view. */
     public refresh(): void {
         const known = new Set<string>();
         for (const upstream of this.view.upstreams()) {
             known.add(upstream.id);
-            const link = this.links.get(upstream.id);
-            if (link === undefined) {
-                this.links.set(upstream.id, new UpstreamLink(upstream, this.connectionsFor(upstream)));
+            const endpoint = this.endpoints.get(upstream.id);
+            if (endpoint === undefined) {
+                this.endpoints.set(upstream.id, new UpstreamLink(upstream, this.connectionLimit(upstream)));
             }
             else {
-                link.update(upstream);
+                endpoint.update(upstream);
             }
         }
-        for (const [id, link] of this.links) {
+        for (const [id, endpoint] of this.endpoints) {
             if (!known.has(id)) {
-                this.links.delete(id);
-                this.end(link);
+                this.endpoints.delete(id);
+                this.closeEndpoint(endpoint);
             }
         }
     }
 
-    /** Requests at an upstream that has left end there; one that has started anew knows nothing of them. */
-    private end(link: UpstreamLink): void {
-        const successor = this.view.named(link.description.name);
-        if (successor !== undefined && succeeds(successor, link.description)) {
-            link.cut();
+    /** Lets requests finish on an upstream that is gone, unless it has restarted and lost them. */
+    private closeEndpoint(endpoint: UpstreamLink): void {
+        const successor = this.view.named(endpoint.description.name);
+        if (successor !== undefined && succeeds(successor, endpoint.description)) {
+            endpoint.destroyConnections();
         }
         else {
-            link.close();
+            endpoint.close();
         }
     }
 
-    /** Upstreams of a service that take new requests. */
+    /** Upstreams of a service that accept new requests. */
     public ready(service: string): UpstreamLink[] {
-        return [...this.links.values()].filter(({ id, description }) =>
+        return [...this.endpoints.values()].filter(({ id, description }) =>
             description.service === service && description.state === UpstreamState.READY
             && !this.view.availability.isLeaving(id)
         );
     }
 
-    /** Whether an upstream still takes new requests; asked right before one is sent. */
-    public isReady(link: UpstreamLink): boolean {
-        return this.links.get(link.id) === link && link.description.state === UpstreamState.READY
-            && this.view.availability.sendable(link.id).kind === "open";
+    /** Whether an upstream still accepts new requests; checked right before sending. */
+    public isReady(endpoint: UpstreamLink): boolean {
+        return this.endpoints.get(endpoint.id) === endpoint && endpoint.description.state === UpstreamState.READY
+            && this.view.availability.sendable(endpoint.id).kind === "open";
     }
 
     public close(): void {
-        this.links.forEach(link => link.close());
-        this.links.clear();
+        this.endpoints.forEach(endpoint => endpoint.close());
+        this.endpoints.clear();
     }
 
-    private connectionsFor(upstream: Upstream): number {
+    private connectionLimit(upstream: Upstream): number {
         const service = this.view.configuration?.services.find(({ name }) => name === upstream.service);
         const share = Math.floor((service?.maxConnections ?? 0) * connectionShare / this.view.entries);
-        return Math.max(fewestConnections, share);
+        return Math.max(minConnections, share);
     }
 }
--- a/packages/forwarding/src/paces.ts
+++ b/packages/forwarding/src/paces.ts
@@ -1,71 +1,74 @@
-/** How fast engines read prompts, learnt from how long first events take. */
+/** Estimates how fast engines process prompts, from the time to the first event. */
 
 import { modelName } from "@winchpath/fleet";
 
-/** Before anything was learnt, nothing is refused for it. */
-const unknownMs = 0;
-/** Shorter queues tell little: the time is spent elsewhere. */
-const leastTokens = 1000;
-/** Share of one sample in the average; the last few dozen count. */
-const sampleShare = 0.04;
+/** Duration that is assumed before there are samples, so that no request is refused. */
+const defaultDurationMs = 0;
+/** Samples of fewer tokens are ignored because other delays dominate them. */
+const minSampleTokens = 1000;
+/** Weight of a new sample in the exponential moving average. */
+const smoothingFactor = 0.04;
 
-/** The pace of one model, or of all models of a service together. */
-export class ReadingPace {
+/** Prompt throughput of one model, or of all models of a service. */
+export class PromptThroughput {
     private tokensPerMs: number | undefined;
 
-    /** A first event came after `ms`, with `tokens` of prompts before it and its own. */
-    public learn(tokens: number, ms: number): void {
-        if (tokens < leastTokens || ms <= 0) {
+    /** Adds a sample: the first event arrived after `ms`, with `tokens` to process including the request's own. */
+    public addSample(tokens: number, ms: number): void {
+        if (tokens < minSampleTokens || ms <= 0) {
             return;
         }
-        const seen = tokens / ms;
-        const before = this.tokensPerMs ?? seen;
-        this.tokensPerMs = before + (seen - before) * sampleShare;
+        const sample = tokens / ms;
+        const average = this.tokensPerMs ?? sample;
+        this.tokensPerMs = average + (sample - average) * smoothingFactor;
     }
 
-    /** Tokens in a second; undefined before anything was learnt. */
+    /** Tokens per second; undefined before the first sample. */
     public get tokensPerSecond(): number | undefined {
         return this.tokensPerMs === undefined ? undefined : this.tokensPerMs * 1000;
     }
 
-    /** Time to read that many tokens, in milliseconds; undefined before anything was learnt. */
+    /** Time to process that many tokens, in milliseconds; undefined before the first sample. */
     public durationMs(tokens: number): number | undefined {
         return this.tokensPerMs === undefined ? undefined : tokens / this.tokensPerMs;
     }
 }
 
-/** The paces of a service's models: large ones are read several times as slowly as small ones. */
-export class PaceBook {
-    private readonly models = new Map<string, ReadingPace>();
-    private readonly services = new Map<string, ReadingPace>();
+/** Prompt throughput by service and model. */
+export class ThroughputTable {
+    private readonly models = new Map<string, PromptThroughput>();
+    private readonly services = new Map<string, PromptThroughput>();
 
-    /** A first event of a model came after `ms`, with `tokens` before it and its own. */
-    public learn(service: string, model: string, tokens: number, ms: number): void {
-        paceIn(this.models, modelName(service, model)).learn(tokens, ms);
-        paceIn(this.services, service).learn(tokens, ms);
+    /**
+     * Adds a sample: the first event of a model arrived after `ms`, with `tokens` to process including the request's
+     * own.
+     */
+    public addSample(service: string, model: string, tokens: number, ms: number): void {
+        throughputIn(this.models, modelName(service, model)).addSample(tokens, ms);
+        throughputIn(this.services, service).addSample(tokens, ms);
     }
 
-    /** Tokens that engines read for a model in a second; undefined before anything was learnt of it. */
+    /** Prompt tokens per second of a model; undefined before the first sample. */
     public tokensPerSecond(service: string, model: string): number | undefined {
-        return paceIn(this.models, modelName(service, model)).tokensPerSecond;
+        return throughputIn(this.models, modelName(service, model)).tokensPerSecond;
     }
 
     /**
-     * Time to read that many tokens for a model, in milliseconds. An entry of a large fleet has asked for few
-     * of its models: the others are taken to be read as fast as a service's models are on the whole.
+     * Time to process that many tokens, in milliseconds. Falls back to the service's average for models without
+     * samples.
      */
     public durationMs(service: string, model: string, tokens: number): number {
-        return paceIn(this.models, modelName(service, model)).durationMs(tokens)
-            ?? paceIn(this.services, service).durationMs(tokens)
-            ?? unknownMs;
+        return throughputIn(this.models, modelName(service, model)).durationMs(tokens)
+            ?? throughputIn(this.services, service).durationMs(tokens)
+            ?? defaultDurationMs;
     }
 }
 
-function paceIn(paces: Map<string, ReadingPace>, name: string): ReadingPace {
-    let pace = paces.get(name);
-    if (pace === undefined) {
-        pace = new ReadingPace();
-        paces.set(name, pace);
+function throughputIn(table: Map<string, PromptThroughput>, name: string): PromptThroughput {
+    let throughput = table.get(name);
+    if (throughput === undefined) {
+        throughput = new PromptThroughput();
+        table.set(name, throughput);
     }
-    return pace;
+    return throughput;
 }
--- a/packages/forwarding/src/patiences.ts
+++ b/packages/forwarding/src/patiences.ts
@@ -1,149 +1,160 @@
-/** How long a request waits at the entry for an upstream, and when it is to come back otherwise. */
+/** Decides how long a request waits for an upstream, and the Retry-After of a refusal. */
 import { steadyNow } from "@winchpath/core";
 import { type Configuration } from "@winchpath/declarations";
 import { type FleetView } from "@winchpath/fleet";
 import { type Refusal } from "./admissions.js";
-import { OwnAnswer } from "./answers.js";
-import { ageMs, type Job, leftMs, patienceLeftMs } from "./jobs.js";
-import { type LinkTable } from "./linktables.js";
-import { type Choice } from "./pickers.js";
-
-/** A request that can't be served is refused within this share of its objective, while a second try can still be in time. */
-const refusalShare = 0.2;
-/** A request waits for a load that is expected to end within this share of its objective. */
-const loadWaitShare = 0.7;
-/** A load with its unload and the order to it takes this many times as long as the model's own time. */
-const loadMargin = 1.6;
-/** Callers come back after at most this share of the time that they have left. */
-const returnShare = 0.3;
-/** A load may take this much longer than expected before a request gives it up, in milliseconds. */
+import { LocalResponse } from "./answers.js";
+import { ageMs, firstEventRemainingMs, type Job, leftMs } from "./jobs.js";
+import { type EndpointTable } from "./linktables.js";
+import { type Selection } from "./pickers.js";
+
+/** Share of the objective within which requests are refused, so that a retry can still meet it. */
+const refusalObjectiveShare = 0.2;
+/** Share of the objective within which a model load has to finish for a request to wait for it. */
+const loadWaitObjectiveShare = 0.7;
+/** Ratio of the total time of a load, including unloading another model, to the model's load time. */
+const loadTimeFactor = 1.6;
+/** Share of the remaining time after which clients are expected to retry. */
+const retryDelayShare = 0.3;
+/** Delay of a model load beyond its expected end that a request tolerates, in milliseconds. */
 const loadSlackMs = 400;
-/** A try with less time than this left is not made, in milliseconds. */
-export const leastAttemptMs = 20;
-/** When to come back after all upstreams were busy, in milliseconds. */
+/** Minimum time left for an attempt, in milliseconds. */
+export const minAttemptMs = 20;
+/** Retry-After if all upstreams are at capacity, in milliseconds. */
 export const busyRetryMs = 400;
-/** When to come back where no upstream is known, in milliseconds. */
+/** Retry-After if no upstream is known, in milliseconds. */
 const noUpstreamRetryMs = 1000;
 
-/** An upstream is silent once it has taken so many times as long as it should for what is before the request, */
-const silentTimesExpected = 4;
-/** and so many times the objective: the answer is late by then, and another upstream may still give one. */
-const silentObjectives = 2;
-/** There is to be time for another: at most this share of the time for which the caller stays. */
-const silentPatienceShare = 0.5;
+/** An attempt times out without response headers after this multiple of the expected processing time, */
+const headTimeoutExpectedFactor = 4;
+/** but not before this multiple of the objective, */
+const headTimeoutObjectives = 2;
+/** and early enough to leave time for another upstream: at most this share of the time that the client waits. */
+const headTimeoutWaitShare = 0.5;
 
 /**
- * How long a try may go without the head of an answer before the request goes elsewhere, in
- * milliseconds; `expectedMs`: how long what is before it should take to be read.
+ * Returns how long an attempt waits for response headers, in milliseconds. `expectedMs`: expected time to process the
+ * prompts ahead of the request and its own.
  */
-export function silenceMs(job: Job, expectedMs: number): number {
-    const { objectiveMs } = job.route;
-    const silent = Math.max(silentObjectives * objectiveMs, silentTimesExpected * expectedMs);
-    return Math.min(silent, Math.max(objectiveMs, patienceLeftMs(job) * silentPatienceShare));
+export function headTimeoutMs(request: Job, expectedMs: number): number {
+    const { objectiveMs } = request.route;
+    const timeoutMs = Math.max(headTimeoutObjectives * objectiveMs, headTimeoutExpectedFactor * expectedMs);
+    return Math.min(timeoutMs, Math.max(objectiveMs, firstEventRemainingMs(request) * headTimeoutWaitShare));
 }
 
-/** Callers that are sent away until the end of a rest, or the next permit, come back over this share of its time more, drawn for each. */
-const restSpread = 0.25;
+/** Random share by which Retry-After is extended, so that clients do not return all at once. */
+const retryJitter = 0.25;
 
-/** Why no upstream was found. */
-export type Obstacle = Exclude<Choice, { readonly kind: "upstream"; }>;
+/** A selection without an upstream, with the reason. */
+export type Unavailable = Exclude<Selection, { readonly kind: "upstream"; }>;
 
-export class Patience {
-    /** `random`: draws from 0 to 1. */
+export class WaitPolicy {
+    /** `random`: returns a number from 0 to 1. */
     public constructor(
         private readonly view: FleetView<Configuration>,
-        private readonly links: LinkTable,
+        private readonly endpoints: EndpointTable,
         private readonly random: () => number,
     ) {}
 
-    /** How long the request may wait from now on, in milliseconds; 0 or less where it is refused. */
-    public waitMs(job: Job, why: Obstacle): number {
-        return Math.min(this.usefulMs(job, why), patienceLeftMs(job) - leastAttemptMs);
+    /** Returns how long the request may wait, in milliseconds; it is refused if the result is not positive. */
+    public waitMs(request: Job, reason: Unavailable): number {
+        return Math.min(this.usefulWaitMs(request, reason), firstEventRemainingMs(request) - minAttemptMs);
     }
 
-    private usefulMs(job: Job, why: Obstacle): number {
-        switch (why.kind) {
+    private usefulWaitMs(request: Job, reason: Unavailable): number {
+        switch (reason.kind) {
             case "lacking":
-                return this.loadWaitMs(job);
+                return this.loadWaitMs(request);
             case "resting":
             case "limited":
-                // It is known when one may be asked again: a request for which that is too late is refused at once.
-                return why.until - steadyNow() < earlyMs(job) ? earlyMs(job) : 0;
+                // A request that cannot wait until an upstream accepts requests again is refused at once.
+                return reason.until - steadyNow() < earlyWaitMs(request) ? earlyWaitMs(request) : 0;
             default:
-                return earlyMs(job);
+                return earlyWaitMs(request);
         }
     }
 
-    public refusal(job: Job, why: Obstacle): Refusal {
-        switch (why.kind) {
+    public refusal(request: Job, reason: Unavailable): Refusal {
+        switch (reason.kind) {
             case "resting":
-                return { kind: "refused", answer: OwnAnswer.resting, retryAfterMs: this.restMs(why.until) };
+                return {
+                    kind: "refused",
+                    response: LocalResponse.resting,
+                    retryAfterMs: this.jitteredRetryMs(reason.until),
+                };
             case "limited":
-                return { kind: "refused", answer: OwnAnswer.limited, retryAfterMs: this.restMs(why.until) };
+                return {
+                    kind: "refused",
+                    response: LocalResponse.limited,
+                    retryAfterMs: this.jitteredRetryMs(reason.until),
+                };
             case "lacking":
-                return { kind: "refused", answer: OwnAnswer.lacking, retryAfterMs: this.returnAfterMs(job) };
+                return { kind: "refused", response: LocalResponse.lacking, retryAfterMs: this.loadRetryMs(request) };
             case "none":
-                return { kind: "refused", answer: OwnAnswer.noUpstream, retryAfterMs: noUpstreamRetryMs };
+                return { kind: "refused", response: LocalResponse.noUpstream, retryAfterMs: noUpstreamRetryMs };
             case "full":
-                return { kind: "refused", answer: OwnAnswer.overloaded, retryAfterMs: busyRetryMs };
+                return { kind: "refused", response: LocalResponse.overloaded, retryAfterMs: busyRetryMs };
         }
     }
 
-    private restMs(until: number): number {
-        return Math.max(busyRetryMs, until - steadyNow()) * (1 + restSpread * this.random());
+    private jitteredRetryMs(until: number): number {
+        return Math.max(busyRetryMs, until - steadyNow()) * (1 + retryJitter * this.random());
     }
 
-    private loadWaitMs(job: Job): number {
-        const { objectiveMs } = job.route;
-        const inTime = objectiveMs * loadWaitShare - ageMs(job);
-        const readyMs = this.readyInMs(job);
+    private loadWaitMs(request: Job): number {
+        const { objectiveMs } = request.route;
+        const remainingWaitMs = objectiveMs * loadWaitObjectiveShare - ageMs(request);
+        const readyMs = this.readyInMs(request);
         if (readyMs === undefined) {
-            return this.loadMs(job) * loadMargin <= inTime ? inTime : earlyMs(job);
+            return this.loadMs(request) * loadTimeFactor <= remainingWaitMs ? remainingWaitMs : earlyWaitMs(request);
         }
-        if (readyMs <= inTime) {
-            return inTime;
+        if (readyMs <= remainingWaitMs) {
+            return remainingWaitMs;
         }
-        // Sent back now, the request may come again in time to be served in time.
-        const returnMs = leftMs(job) * returnShare;
-        if (earlyMs(job) > 0 && readyMs <= returnMs + objectiveMs * loadWaitShare) {
+        // A client that is refused now can return in time for the loaded model.
+        const retryDelayMs = leftMs(request) * retryDelayShare;
+        if (earlyWaitMs(request) > 0 && readyMs <= retryDelayMs + objectiveMs * loadWaitObjectiveShare) {
             return 0;
         }
-        return readyMs + loadSlackMs < patienceLeftMs(job) ? readyMs + loadSlackMs : earlyMs(job);
+        return readyMs + loadSlackMs < firstEventRemainingMs(request) ? readyMs + loadSlackMs : earlyWaitMs(request);
     }
 
-    /** When to come back for what is being loaded, so that the rest of the wait is within the objective. */
-    private returnAfterMs(job: Job): number {
-        const readyMs = this.readyInMs(job) ?? this.loadMs(job) * loadMargin;
-        return Math.max(busyRetryMs, readyMs - job.route.objectiveMs * refusalShare);
+    /** Returns the Retry-After for a model that is being loaded, so that the retry can meet its objective. */
+    private loadRetryMs(request: Job): number {
+        const readyMs = this.readyInMs(request) ?? this.loadMs(request) * loadTimeFactor;
+        return Math.max(busyRetryMs, readyMs - request.route.objectiveMs * refusalObjectiveShare);
     }
 
-    /** Milliseconds until what the request asks for is loaded, as the leader expects; undefined where it is not under way. */
-    private readyInMs(job: Job): number | undefined {
-        const { model, adapter } = job.facts;
-        // An adapter of a model that is held has no load of a model to wait for.
-        return adapter !== "" && this.isHeld(job) ? undefined : this.view.readyInMs(job.service, model);
+    /**
+     * Returns the expected time until the requested model is loaded, in milliseconds; undefined if no load is in
+     * progress.
+     */
+    private readyInMs(request: Job): number | undefined {
+        const { model, adapter } = request.facts;
+        // An adapter of a model that is already loaded needs no model load.
+        return adapter !== "" && this.isHeld(request) ? undefined : this.view.readyInMs(request.service, model);
     }
 
-    /** How long it takes to load what a request asks for from a host's disk; an adapter takes a fraction of a second. */
-    private loadMs(job: Job): number {
-        const { model, adapter } = job.facts;
-        if (adapter !== "" && this.isHeld(job)) {
+    /** Returns the time to load the requested model from disk; 0 for an adapter of a loaded model. */
+    private loadMs(request: Job): number {
+        const { model, adapter } = request.facts;
+        if (adapter !== "" && this.isHeld(request)) {
             return 0;
         }
-        const service = this.view.configuration?.services.find(({ name }) => name === job.service);
+        const service = this.view.configuration?.services.find(({ name }) => name === request.service);
         return service?.engine?.models.find(({ name }) => name === model)?.diskLoadMs ?? Number.POSITIVE_INFINITY;
     }
 
-    private isHeld(job: Job): boolean {
-        return this.links.ready(job.service).some(({ description }) =>
+    private isHeld(request: Job): boolean {
+        return this.endpoints.ready(request.service).some(({ description }) =>
             description.models.some(({ name, leaving, readyInMs }) =>
-                name === job.facts.model && !leaving && readyInMs === 0
+                name === request.facts.model && !leaving && readyInMs === 0
             )
         );
     }
 }
 
-/** Time until a refusal comes too late for a second try to be in time. */
-function earlyMs(job: Job): number {
-    return job.route.objectiveMs * refusalShare - ageMs(job);
+/** Returns the time left to refuse a request early enough for a retry, in milliseconds. */
+function earlyWaitMs(request: Job): number {
+    return request.route.objectiveMs * refusalObjectiveShare - ageMs(request);
 }
--- a/packages/forwarding/src/pickers.ts
+++ b/packages/forwarding/src/pickers.ts
@@ -1,170 +1,175 @@
-/** Chooses the upstream for a request. */
+/** Selects the upstream for a request. */
 import { type AvailabilityBook, withoutResting } from "@winchpath/availability";
 import { type EngineSpec } from "@winchpath/declarations";
 import { type EjectionBook } from "@winchpath/routing";
 import { createHash } from "node:crypto";
 import { isRepeatable, type Job, ownTokensOf, tokensOf } from "./jobs.js";
 import { type UpstreamLink } from "./links.js";
-import { type PaceBook } from "./paces.js";
+import { type ThroughputTable } from "./paces.js";
 
-/** An upstream in another data centre counts as this much busier: in tokens of a prompt, or in requests. */
-const distanceTokens = 300;
-const distanceRequests = 0.5;
-/** A queue that takes this many times a request's objective is full to it. */
-const latestShare = 1.5;
-/** Share of an engine's cache that requests are admitted to; the rest is for those that grow longer than said. */
-const cacheShare = 0.95;
+/** Cost added to upstreams in other data centres, in prompt tokens or in requests. */
+const remotePenaltyTokens = 300;
+const remotePenaltyRequests = 0.5;
+/** An upstream is full for a request if the estimated wait exceeds this multiple of its objective. */
+const maxWaitObjectiveShare = 1.5;
+/** Fraction of an engine's cache to fill; the rest is for outputs that exceed their estimate. */
+const maxCacheShare = 0.95;
 
-/** A plain service queues a few requests; beyond this many times its slots they wait at the entry. */
-const slotsOfPlainService = 2;
+/** Maximum load of an upstream that is no model engine, as a multiple of its slots. */
+const plainServiceSlotFactor = 2;
 
-/** What was found for a request. */
-export type Choice =
-    | { readonly kind: "upstream"; readonly link: UpstreamLink; }
-    /** There are holders, but all are full. */
+/** The result of a selection. */
+export type Selection =
+    | { readonly kind: "upstream"; readonly endpoint: UpstreamLink; }
+    /** All upstreams that hold the model are at capacity. */
     | { readonly kind: "full"; }
-    /** There are holders, but all have asked this entry for rest; `until`: steady time of the first end. */
+    /**
+     * All upstreams that hold the model asked this entry to back off; `until`: monotonic time at which the first
+     * back-off ends.
+     */
     | { readonly kind: "resting"; readonly until: number; }
-    /** All that could take it take a rate, and there is no permit; `until`: steady time at which there may be one. */
+    /** All eligible upstreams are rate limited; `until`: monotonic time at which a permit may be available. */
     | { readonly kind: "limited"; readonly until: number; }
-    /** No upstream holds what is asked for. */
+    /** No upstream holds the model. */
     | { readonly kind: "lacking"; }
-    /** The service has no upstream that takes requests. */
+    /** No upstream of the service accepts requests. */
     | { readonly kind: "none"; };
 
-export class Picker {
+export class UpstreamSelector {
     public constructor(
         private readonly ejections: EjectionBook,
         private readonly availability: AvailabilityBook,
         private readonly dataCentre: string,
-        private readonly paces: PaceBook,
-        /** Draws from 0 to 1. */
+        private readonly throughput: ThroughputTable,
+        /** Returns a number from 0 to 1. */
         private readonly random: () => number,
     ) {}
 
-    /** `engine`: what the service's upstreams are, where they are model engines. */
-    public pick(job: Job, ready: readonly UpstreamLink[], engine: EngineSpec | undefined): Choice {
+    /** `engine`: specification of the service's model engines; undefined for other services. */
+    public select(request: Job, ready: readonly UpstreamLink[], engine: EngineSpec | undefined): Selection {
         if (ready.length === 0) {
             return { kind: "none" };
         }
-        const holders = ready.filter(link => holds(link, job));
+        const holders = ready.filter(endpoint => isReadyFor(endpoint, request));
         if (holders.length === 0) {
             return { kind: "lacking" };
         }
-        // Left out before ejections are: those let everything in again where too few are left, a rest holds.
-        const { awake, until } = withoutResting(this.availability, holders, ({ id }) => id);
-        if (awake.length === 0) {
+        // Filtered before ejections, which are ignored when too few upstreams are left; a back-off always holds.
+        const { awake: available, until } = withoutResting(this.availability, holders, ({ id }) => id);
+        if (available.length === 0) {
             return { kind: "resting", until };
         }
-        const admitted = this.ejections.admitted(candidates(job, awake));
-        const open = admitted.filter(link => this.hasRoom(link, job, engine));
+        const admitted = this.ejections.admitted(candidates(request, available));
+        const open = admitted.filter(endpoint => this.hasCapacity(endpoint, request, engine));
         if (open.length === 0) {
             return { kind: "full" };
         }
-        const best = this.choose(job, open, engine);
+        const best = this.lowestCost(request, open, engine);
         if (this.limitedUntil(best) === undefined) {
-            return { kind: "upstream", link: best };
+            return { kind: "upstream", endpoint: best };
         }
-        this.availability.rates.want(best.id, job.id);
-        return this.pickUnlimited(job, open, awake, engine);
+        this.availability.rates.want(best.id, request.id);
+        return this.selectUnlimited(request, open, available, engine);
     }
 
-    /** The choice where the best one takes a rate, and there is no permit for it. */
-    private pickUnlimited(
-        job: Job,
+    /** Selects an upstream that needs no permit, after the best one turned out to be rate limited. */
+    private selectUnlimited(
+        request: Job,
         open: readonly UpstreamLink[],
-        awake: readonly UpstreamLink[],
+        available: readonly UpstreamLink[],
         engine: EngineSpec | undefined,
-    ): Choice {
-        const free = open.filter(link => this.limitedUntil(link) === undefined);
+    ): Selection {
+        const free = open.filter(endpoint => this.limitedUntil(endpoint) === undefined);
         if (free.length > 0) {
-            return { kind: "upstream", link: this.choose(job, free, engine) };
+            return { kind: "upstream", endpoint: this.lowestCost(request, free, engine) };
         }
-        const untils = awake.map(link => this.limitedUntil(link));
+        const untils = available.map(endpoint => this.limitedUntil(endpoint));
         const all = untils.filter(until => until !== undefined);
         return all.length < untils.length ? { kind: "full" } : { kind: "limited", until: Math.min(...all) };
     }
 
-    /** Steady time at which there may be a permit; undefined where none is needed. */
-    private limitedUntil(link: UpstreamLink): number | undefined {
-        const stand = this.availability.choosable(link.id);
-        return stand.kind === "limited" ? stand.until : undefined;
+    /** Monotonic time at which a permit may be available; undefined if none is needed. */
+    private limitedUntil(endpoint: UpstreamLink): number | undefined {
+        const state = this.availability.choosable(endpoint.id);
+        return state.kind === "limited" ? state.until : undefined;
     }
 
-    /** Of those that are sound, the one with the least before the request, less what it has read already. */
-    private choose(job: Job, all: readonly UpstreamLink[], engine: EngineSpec | undefined): UpstreamLink {
-        const sound = all.filter(({ description }) => description.failingPercent === 0);
-        const open = sound.length > 0 ? sound : all;
-        const home = job.route.sticky ? this.homeOf(job, open) : undefined;
-        const sharedTokens = job.facts.parts.slice(0, -1).reduce((sum, part) => sum + part.tokens, 0);
-        const ranked = open.map(link => ({
-            link,
-            cost: this.costOf(job, link, engine) - (link === home ? sharedTokens : 0),
+    /** Returns the upstream with the lowest cost, preferring healthy ones; a cached prompt prefix reduces the cost. */
+    private lowestCost(request: Job, all: readonly UpstreamLink[], engine: EngineSpec | undefined): UpstreamLink {
+        const healthy = all.filter(({ description }) => description.failingPercent === 0);
+        const open = healthy.length > 0 ? healthy : all;
+        const preferred = request.route.sticky ? this.stickyEndpoint(request, open) : undefined;
+        const sharedTokens = request.facts.parts.slice(0, -1).reduce((sum, part) => sum + part.tokens, 0);
+        const ranked = open.map(endpoint => ({
+            endpoint,
+            cost: this.costOf(request, endpoint, engine) - (endpoint === preferred ? sharedTokens : 0),
             tie: this.random(),
         }));
         ranked.sort((a, b) => a.cost - b.cost || a.tie - b.tie);
-        return ranked[0].link;
+        return ranked[0].endpoint;
     }
 
-    private costOf(job: Job, link: UpstreamLink, engine: EngineSpec | undefined): number {
-        const far = link.description.dataCentre !== this.dataCentre;
+    private costOf(request: Job, endpoint: UpstreamLink, engine: EngineSpec | undefined): number {
+        const far = endpoint.description.dataCentre !== this.dataCentre;
         return engine === undefined
-            ? link.load + (far ? distanceRequests : 0)
-            : link.queueAhead(job.priority, ownTokensOf(job)) + (far ? distanceTokens : 0);
+            ? endpoint.load + (far ? remotePenaltyRequests : 0)
+            : endpoint.queuedTokensAhead(request.priority, ownTokensOf(request)) + (far ? remotePenaltyTokens : 0);
     }
 
-    /** Rendezvous hashing: every entry finds the same one, without talking. */
-    private homeOf(job: Job, open: readonly UpstreamLink[]): UpstreamLink | undefined {
-        const key = affinityKey(job);
+    /** Chooses an upstream by rendezvous hashing, so that all entries agree on it. */
+    private stickyEndpoint(request: Job, open: readonly UpstreamLink[]): UpstreamLink | undefined {
+        const key = affinityKey(request);
         return key === undefined
             ? undefined
-            : open.reduce((best, link) => rank(key, link) > rank(key, best) ? link : best);
+            : open.reduce((best, endpoint) =>
+                affinityScore(key, endpoint) > affinityScore(key, best) ? endpoint : best
+            );
     }
 
-    private hasRoom(link: UpstreamLink, job: Job, engine: EngineSpec | undefined): boolean {
-        const { slots } = link.description;
+    private hasCapacity(endpoint: UpstreamLink, request: Job, engine: EngineSpec | undefined): boolean {
+        const { slots } = endpoint.description;
         if (engine === undefined) {
-            return link.load < slots * slotsOfPlainService;
+            return endpoint.load < slots * plainServiceSlotFactor;
         }
-        if (link.load >= slots) {
+        if (endpoint.load >= slots) {
             return false;
         }
-        const perRequest = link.inFlight === 0 ? tokensOf(job) : link.tokensInFlight / link.inFlight;
-        const fits = perRequest * link.load + tokensOf(job) <= engine.cacheTokens * cacheShare;
-        const ahead = link.queueAhead(job.priority, ownTokensOf(job));
-        const waitMs = this.paces.durationMs(job.service, job.facts.model, ahead);
-        const inTime = waitMs <= job.route.objectiveMs * latestShare;
-        return link.load < 1 || (fits && inTime);
+        const perRequest = endpoint.inFlight === 0 ? tokensOf(request) : endpoint.tokensInFlight / endpoint.inFlight;
+        const fits = perRequest * endpoint.load + tokensOf(request) <= engine.cacheTokens * maxCacheShare;
+        const ahead = endpoint.queuedTokensAhead(request.priority, ownTokensOf(request));
+        const waitMs = this.throughput.durationMs(request.service, request.facts.model, ahead);
+        const inTime = waitMs <= request.route.objectiveMs * maxWaitObjectiveShare;
+        return endpoint.load < 1 || (fits && inTime);
     }
 }
 
 /**
- * Holders that the request may go to. One that has failed it is asked again only where it is the only
- * one: it fails a share of its requests, and what may be repeated is lost for certain otherwise.
+ * Returns the upstreams that have not declined or failed the request. If there are none, a repeatable request may go to
+ * one that failed it before.
  */
-function candidates(job: Job, holders: readonly UpstreamLink[]): readonly UpstreamLink[] {
-    const willing = holders.filter(({ id }) => !job.declined.has(id));
-    const untried = willing.filter(({ id }) => !job.tried.includes(id));
-    return untried.length > 0 || !isRepeatable(job) ? untried : willing;
+function candidates(request: Job, holders: readonly UpstreamLink[]): readonly UpstreamLink[] {
+    const willing = holders.filter(({ id }) => !request.declined.has(id));
+    const untried = willing.filter(({ id }) => !request.tried.includes(id));
+    return untried.length > 0 || !isRepeatable(request) ? untried : willing;
 }
 
-function holds(link: UpstreamLink, job: Job): boolean {
-    const { model, adapter } = job.facts;
+function isReadyFor(endpoint: UpstreamLink, request: Job): boolean {
+    const { model, adapter } = request.facts;
     if (model === "") {
         return true;
     }
-    const held = link.description.models.find(({ name }) => name === model);
-    return held !== undefined && !held.leaving && held.readyInMs === 0
-        && (adapter === "" || held.adapters.includes(adapter));
+    const heldModel = endpoint.description.models.find(({ name }) => name === model);
+    return heldModel !== undefined && !heldModel.leaving && heldModel.readyInMs === 0
+        && (adapter === "" || heldModel.adapters.includes(adapter));
 }
 
-/** The last part of the prompt that others share; requests with it find it read already. */
-function affinityKey(job: Job): string | undefined {
-    const { parts, model, adapter } = job.facts;
+/** Returns a key of the shared prompt prefix; requests with the same key benefit from the same cache. */
+function affinityKey(request: Job): string | undefined {
+    const { parts, model, adapter } = request.facts;
     const shared = parts.at(-2) ?? parts[0];
     return shared === undefined ? undefined : `${model}/${adapter}/${shared.id}`;
 }
 
-function rank(key: string, link: UpstreamLink): number {
-    return createHash("md5").update(`${key} ${link.id}`).digest().readUInt32LE(0);
+function affinityScore(key: string, endpoint: UpstreamLink): number {
+    return createHash("md5").update(`${key} ${endpoint.id}`).digest().readUInt32LE(0);
 }
--- a/packages/forwarding/src/priorities.ts
+++ b/packages/forwarding/src/priorities.ts
@@ -1,16 +1,16 @@
-/** In which order requests go first: by their account's priority, and within that by their route's. */
+/** Maps the priorities of accounts and routes to priority levels; the account's comes first. */
 import { type Configuration, type Route } from "@winchpath/declarations";
 
-/** Upstreams know so many levels of urgency; 0 is the most urgent. */
-const levels = 10;
+/** Number of levels that upstreams support. */
+const levelCount = 10;
 
-interface Pair {
+interface PriorityPair {
     readonly account: number;
     readonly route: number;
 }
 
-export class Priorities {
-    /** Level by pair; undefined where the configuration sets no accounts, so that a route's priority is the level. */
+export class PriorityLevels {
+    /** Level by priority pair; undefined if no accounts are configured and the route's priority is the level. */
     private readonly byPair: ReadonlyMap<string, number> | undefined;
 
     public constructor({ accounts, routes }: Configuration) {
@@ -19,31 +19,31 @@
             : levelsOf(accounts.map(({ priority }) => priority), routes.map(({ priority }) => priority));
     }
 
-    /** 0 is the most urgent. A request without an account's priority goes by its route's alone. */
+    /** Returns the level, 0 being the most urgent. Without an account priority the route's is used for both. */
     public levelOf(route: Route, accountPriority: number | undefined): number {
         const pair = pairOf(accountPriority, route.priority);
-        return this.byPair === undefined ? route.priority : this.byPair.get(nameOf(pair)) ?? levels - 1;
+        return this.byPair === undefined ? route.priority : this.byPair.get(keyOf(pair)) ?? levelCount - 1;
     }
 }
 
-/** As many levels as there are pairs, and neighbours share one where there are too many. */
+/** Assigns a level to each pair in order; adjacent pairs share a level if there are more pairs than levels. */
 function levelsOf(accounts: readonly (number | undefined)[], routes: readonly number[]): Map<string, number> {
-    const pairs = new Map<string, Pair>();
+    const pairs = new Map<string, PriorityPair>();
     for (const account of new Set([undefined, ...accounts])) {
         for (const route of new Set(routes)) {
             const pair = pairOf(account, route);
-            pairs.set(nameOf(pair), pair);
+            pairs.set(keyOf(pair), pair);
         }
     }
     const order = [...pairs].sort(([, a], [, b]) => a.account - b.account || a.route - b.route);
-    const perLevel = Math.max(1, order.length / levels);
+    const perLevel = Math.max(1, order.length / levelCount);
     return new Map(order.map(([name], rank) => [name, Math.floor(rank / perLevel)]));
 }
 
-function pairOf(account: number | undefined, route: number): Pair {
+function pairOf(account: number | undefined, route: number): PriorityPair {
     return { account: account ?? route, route };
 }
 
-function nameOf({ account, route }: Pair): string {
+function keyOf({ account, route }: PriorityPair): string {
     return `${account} ${route}`;
 }
--- a/packages/forwarding/src/quarantines.ts
+++ b/packages/forwarding/src/quarantines.ts
@@ -1,100 +1,103 @@
-/** What an entry does about requests under which upstreams end. */
+/** Reports requests during which upstreams crashed, and refuses quarantined ones. */
 import { type CrashReporter, type FleetView } from "@winchpath/fleet";
 import { GoodEnds, type ListedRequest, mostEndsOfOneRequest } from "@winchpath/quarantine";
 import { type Refusal } from "./admissions.js";
-import { OwnAnswer } from "./answers.js";
+import { LocalResponse } from "./answers.js";
 import { type AttemptOutcome } from "./attempts.js";
 import { identityOf, type Job } from "./jobs.js";
 import { type UpstreamLink } from "./links.js";
 
 /**
- * A request whose answer had begun this long before its upstream ended, in milliseconds, did not end it: one that
- * does has been seen to take 37 to 113 ms. It spares most of those that run beside it the suspicion.
+ * An upstream that crashes this long after the start of a response, in milliseconds, was not crashed by that request.
+ * Keeps concurrent requests from being suspected.
  */
-const longestFuseMs = 2000;
+const maxCrashDelayMs = 2000;
 
-/**
- * Good ends of larger bodies aren't remembered, in bytes: a digest takes 13 µs for 5 KB and 74 µs for this much.
- */
-const mostRememberedBytes = 64 * 1024;
+/** Maximum body size of successful requests that are remembered, which limits the cost of hashing. */
+const maxRememberedBodyBytes = 64 * 1024;
 
-/** A try of a request. */
-interface Run {
-    /** Steady time. */
+/** Timing of an attempt. */
+interface AttemptTiming {
+    /** Monotonic time. */
     readonly sentAt: number;
-    /** For how long its answer had run, in milliseconds; undefined where none had begun. */
+    /** Time from the start of the response to its end, in milliseconds; undefined if there was no response. */
     readonly ranMs: number | undefined;
 }
 
 export class Quarantine {
-    private readonly goodEnds = new GoodEnds();
+    private readonly recentSuccesses = new GoodEnds();
 
     public constructor(
         private readonly view: Pick<FleetView<unknown>, "quarantine">,
         private readonly reporter: Pick<CrashReporter, "lost" | "succeeded">,
     ) {}
 
-    /** Why a request goes to no upstream any more; undefined where it may. */
-    public refusal(job: Job): Refusal | undefined {
-        const listed = this.listed(job);
-        if (listed?.standing !== "barred") {
+    /** Returns the refusal of a quarantined request; undefined if it may be forwarded. */
+    public refusal(request: Job): Refusal | undefined {
+        const entry = this.quarantineEntry(request);
+        if (entry?.standing !== "barred") {
             return undefined;
         }
-        const { fingerprint, occasions } = listed;
+        const { fingerprint, occasions } = entry;
         const details = { fingerprint, occasions, quarantinePosition: this.view.quarantine.position };
-        return { kind: "refused", answer: OwnAnswer.barred, retryAfterMs: undefined, details };
+        return { kind: "refused", response: LocalResponse.barred, retryAfterMs: undefined, details };
     }
 
     /**
-     * Whether a request whose try was lost may go to another upstream by itself; not where two have ended under it,
-     * now or before. Its caller may send it again.
+     * Whether a request may be retried after its connection was lost. Not if this happened twice, or if the request is
+     * listed as a suspect; the client may still retry.
      */
-    public mayTryAgain(job: Job): boolean {
-        return job.lost < mostEndsOfOneRequest && this.listed(job) === undefined;
+    public isRetryAllowed(request: Job): boolean {
+        return request.lost < mostEndsOfOneRequest && this.quarantineEntry(request) === undefined;
     }
 
-    /** Takes in how a try ended. */
-    public take(job: Job, link: UpstreamLink, outcome: AttemptOutcome, { sentAt, ranMs }: Run): void {
+    /** Records the outcome of an attempt and reports suspected crashes. */
+    public recordOutcome(
+        request: Job,
+        endpoint: UpstreamLink,
+        outcome: AttemptOutcome,
+        { sentAt, ranMs }: AttemptTiming,
+    ): void {
         if (outcome.kind === "answered") {
-            this.noteGoodEnd(job);
+            this.recordSuccess(request);
             return;
         }
-        if (!isLost(outcome)) {
+        if (!isConnectionLost(outcome)) {
             return;
         }
-        job.lost += 1;
-        if ((ranMs ?? 0) > longestFuseMs) {
+        request.lost += 1;
+        if ((ranMs ?? 0) > maxCrashDelayMs) {
             return;
         }
-        const fingerprint = this.fingerprint(job);
-        if (fingerprint !== undefined && !this.goodEnds.has(fingerprint)) {
-            this.reporter.lost(link.description, { fingerprint, size: job.body.length, sentAt });
+        const fingerprint = this.fingerprint(request);
+        if (fingerprint !== undefined && !this.recentSuccesses.has(fingerprint)) {
+            this.reporter.lost(endpoint.description, { fingerprint, size: request.body.length, sentAt });
         }
     }
 
-    public fingerprint(job: Job): string | undefined {
-        return this.view.quarantine.fingerprint(identityOf(job));
+    public fingerprint(request: Job): string | undefined {
+        return this.view.quarantine.fingerprint(identityOf(request));
     }
 
-    private noteGoodEnd(job: Job): void {
-        if (job.body.length <= mostRememberedBytes) {
-            const fingerprint = this.fingerprint(job);
+    private recordSuccess(request: Job): void {
+        if (request.body.length <= maxRememberedBodyBytes) {
+            const fingerprint = this.fingerprint(request);
             if (fingerprint !== undefined) {
-                this.goodEnds.note(fingerprint);
+                this.recentSuccesses.note(fingerprint);
             }
         }
-        const listed = this.listed(job);
-        if (listed !== undefined) {
-            this.reporter.succeeded(listed.fingerprint);
+        const entry = this.quarantineEntry(request);
+        if (entry !== undefined) {
+            this.reporter.succeeded(entry.fingerprint);
         }
     }
 
-    private listed(job: Job): ListedRequest | undefined {
-        return this.view.quarantine.standingOf(identityOf(job));
+    private quarantineEntry(request: Job): ListedRequest | undefined {
+        return this.view.quarantine.standingOf(identityOf(request));
     }
 }
 
-/** Whether the upstream, or the way to it, was lost under the request. */
-export function isLost(outcome: AttemptOutcome): boolean {
+/** Whether the connection to the upstream was lost during the attempt. */
+export function isConnectionLost(outcome: AttemptOutcome): boolean {
     return (outcome.kind === "unknown" || outcome.kind === "broken") && outcome.lost;
 }
--- a/packages/forwarding/src/replies.ts
+++ b/packages/forwarding/src/replies.ts
@@ -1,90 +1,96 @@
-/** Final answers of the entry, and what logs and metrics tell of a request. */
+/** Sends final responses and records logs and metrics of requests. */
 import { type EventLog, type Metrics } from "@winchpath/core";
 import { type FleetView } from "@winchpath/fleet";
 import { type ServerResponse } from "node:http";
-import { OwnAnswer, writeOwnAnswer } from "./answers.js";
-import { type HeldAnswer, writeHeldAnswer } from "./heldanswers.js";
+import { LocalResponse, writeLocalResponse } from "./answers.js";
+import { type BufferedResponse, writeBufferedResponse } from "./heldanswers.js";
 import { ageMs, type Job } from "./jobs.js";
 
-export interface ReplyParts {
+export interface ResponderDependencies {
     readonly view: Pick<FleetView<unknown>, "version" | "ageMs">;
     readonly log: EventLog;
     readonly metrics: Metrics;
-    /** Whether the process is stopping: answers tell callers to close their connections. */
+    /** Whether the process is shutting down, so that responses close client connections. */
     readonly stopping: () => boolean;
-    /** Requests that wait for an upstream. */
+    /** Number of requests that are waiting for an upstream. */
     readonly waiting: () => number;
 }
 
-type Values = Readonly<Record<string, unknown>>;
+type LogFields = Readonly<Record<string, unknown>>;
 
-export class Replies {
-    public constructor(private readonly parts: ReplyParts) {}
+export class Responder {
+    public constructor(private readonly deps: ResponderDependencies) {}
 
-    /** Hands on an upstream's answer that was read whole and is no success. */
-    public handOn(job: Job, res: ServerResponse, answer: HeldAnswer): void {
-        if (job.answerStarted) {
-            this.cut(job, res);
+    /** Forwards a buffered non-success response of an upstream. */
+    public forward(request: Job, res: ServerResponse, response: BufferedResponse): void {
+        if (request.answerStarted) {
+            this.abort(request, res);
             return;
         }
-        this.count(job, "failure");
-        writeHeldAnswer(res, answer, this.parts.stopping());
+        this.recordMetrics(request, "failure");
+        writeBufferedResponse(res, response, this.deps.stopping());
     }
 
-    /** Gives a final answer of our own; where part of an answer is out already, ends the connection instead. */
-    public answer(job: Job, res: ServerResponse, answer: OwnAnswer, retryAfterMs?: number, details: Values = {}): void {
-        if (job.answerStarted) {
-            this.cut(job, res);
+    /** Sends a generated response; closes the connection instead if a response has already started. */
+    public respond(
+        request: Job,
+        res: ServerResponse,
+        response: LocalResponse,
+        retryAfterMs?: number,
+        details: LogFields = {},
+    ): void {
+        if (request.answerStarted) {
+            this.abort(request, res);
             return;
         }
-        this.count(job, answer.reason);
-        this.tell(job, "own-answer", {
-            status: answer.status,
-            reason: answer.reason,
+        this.recordMetrics(request, response.reason);
+        this.logEvent(request, "own-answer", {
+            status: response.status,
+            reason: response.reason,
             retryAfterMs: retryAfterMs === undefined ? undefined : Math.round(retryAfterMs),
-            ...this.beliefs(),
+            ...this.viewFields(),
             ...details,
         });
-        // An entry that can't tell whose keys hold sends callers to others.
-        const close = this.parts.stopping() || answer === OwnAnswer.unconfirmed;
-        writeOwnAnswer(res, answer, { retryAfterMs, close });
+        // Clients of an entry that cannot verify API keys should use another entry.
+        const close = this.deps.stopping() || response === LocalResponse.unconfirmed;
+        writeLocalResponse(res, response, { retryAfterMs, close });
     }
 
-    public count(job: Job, outcome: string): void {
-        this.parts.metrics.count("requests_total", { route: job.route.name, outcome });
-        this.parts.metrics.histogram("request", { route: job.route.name, outcome }).record(ageMs(job));
+    public recordMetrics(request: Job, outcome: string): void {
+        this.deps.metrics.count("requests_total", { route: request.route.name, outcome });
+        this.deps.metrics.histogram("request", { route: request.route.name, outcome }).record(ageMs(request));
     }
 
-    /** One line of the log; what failed is left out last. */
-    public tell(job: Job, what: string, values: Values): void {
-        const { model, adapter } = job.facts;
-        const failed = what !== "attempt" || values.outcome !== "answered";
-        const line = {
-            request: job.id,
-            route: job.route.name,
-            account: job.grant?.account,
+    /** Logs an event of a request; everything but a successful attempt is logged as a warning. */
+    public logEvent(request: Job, event: string, fields: LogFields): void {
+        const { model, adapter } = request.facts;
+        const failed = event !== "attempt" || fields.outcome !== "answered";
+        const entry = {
+            request: request.id,
+            route: request.route.name,
+            account: request.grant?.account,
             model: model === "" ? undefined : model,
             adapter: adapter === "" ? undefined : adapter,
-            ageMs: Math.round(ageMs(job)),
-            ...values,
+            ageMs: Math.round(ageMs(request)),
+            ...fields,
         };
         if (failed) {
-            this.parts.log.warn(`request.${what}`, line);
+            this.deps.log.warn(`request.${event}`, entry);
         }
         else {
-            this.parts.log.info(`request.${what}`, line);
+            this.deps.log.info(`request.${event}`, entry);
         }
     }
 
-    /** The rest of an answer does not come. */
-    private cut(job: Job, res: ServerResponse): void {
-        this.count(job, "cut");
-        this.tell(job, "cut", this.beliefs());
+    /** Closes the connection of a response that cannot be completed. */
+    private abort(request: Job, res: ServerResponse): void {
+        this.recordMetrics(request, "cut");
+        this.logEvent(request, "cut", this.viewFields());
         res.destroy();
     }
 
-    private beliefs(): Values {
-        const { view, waiting } = this.parts;
+    private viewFields(): LogFields {
+        const { view, waiting } = this.deps;
         return { configuration: view.version, viewAgeMs: Math.round(view.ageMs), waiting: waiting() };
     }
 }
--- a/packages/forwarding/src/retries.ts
+++ b/packages/forwarding/src/retries.ts
@@ -1,16 +1,16 @@
-/** Whether a request may be sent once more: by its route, its time and the budget that all entries share. */
+/** Decides whether a request is retried, by its route, its deadline and the retry budget. */
 import { type Metrics } from "@winchpath/core";
 import { type FleetView } from "@winchpath/fleet";
-import { type RetryBudgetOptions, WindowBudget } from "./budgets.js";
+import { RetryBudget, type RetryBudgetOptions } from "./budgets.js";
 import { type Job, leftMs } from "./jobs.js";
-import { leastAttemptMs } from "./patiences.js";
+import { minAttemptMs } from "./patiences.js";
 
-/** Upstreams that may decline a request before it is given up. */
-const maxDeclined = 3;
+/** Number of upstreams that may decline a request before it is refused. */
+const maxDeclines = 3;
 
-export class Retries {
-    /** By service. */
-    private readonly budgets = new Map<string, WindowBudget>();
+export class RetryPolicy {
+    /** Retry budgets by service. */
+    private readonly budgets = new Map<string, RetryBudget>();
 
     public constructor(
         private readonly view: Pick<FleetView<unknown>, "entries">,
@@ -18,36 +18,36 @@
         private readonly metrics: Metrics,
     ) {}
 
-    /** A request has come, which earns a share of a retry. */
-    public arrived(job: Job): void {
-        this.budget(job.service).request();
+    /** Records an incoming request, which adds to the retry budget. */
+    public recordRequest(request: Job): void {
+        this.budget(request.service).recordRequest();
     }
 
-    /** Takes a retry of a request that an upstream has failed, or lost; false where there is none. */
-    public takeAfterFailure(job: Job): boolean {
-        return job.tried.length < job.route.maxAttempts && this.take(job);
+    /** Takes a retry after a failed or lost attempt; returns false if none is allowed. */
+    public acquireAfterFailure(request: Job): boolean {
+        return request.tried.length < request.route.maxAttempts && this.acquire(request);
     }
 
-    /** Takes a retry of a request that an upstream has not run; false where there is none. */
-    public takeAfterDecline(job: Job): boolean {
-        return job.declined.size < maxDeclined && this.take(job);
+    /** Takes a retry after an upstream declined the request; returns false if none is allowed. */
+    public acquireAfterDecline(request: Job): boolean {
+        return request.declined.size < maxDeclines && this.acquire(request);
     }
 
-    private take(job: Job): boolean {
-        if (leftMs(job) <= leastAttemptMs) {
+    private acquire(request: Job): boolean {
+        if (leftMs(request) <= minAttemptMs) {
             return false;
         }
-        const taken = this.budget(job.service).spend(this.view.entries);
+        const taken = this.budget(request.service).trySpend(this.view.entries);
         if (!taken) {
-            this.metrics.count("retries_denied_total", { service: job.service });
+            this.metrics.count("retries_denied_total", { service: request.service });
         }
         return taken;
     }
 
-    private budget(service: string): WindowBudget {
+    private budget(service: string): RetryBudget {
         let budget = this.budgets.get(service);
         if (budget === undefined) {
-            budget = new WindowBudget(this.options);
+            budget = new RetryBudget(this.options);
             this.budgets.set(service, budget);
         }
         return budget;
--- a/packages/forwarding/src/routetables.ts
+++ b/packages/forwarding/src/routetables.ts
@@ -1,15 +1,15 @@
-/** Finds the route of a request by its host and path. */
+/** Matches requests to routes by host and path. */
 import { type Configuration, type Route, type RouteTarget } from "@winchpath/declarations";
-import { Priorities } from "./priorities.js";
+import { PriorityLevels } from "./priorities.js";
 
 export class RouteTable {
-    /** By host; longest prefix first. */
+    /** Routes by host, sorted by descending prefix length. */
     private readonly byHost = new Map<string, Route[]>();
 
-    public readonly priorities: Priorities;
+    public readonly priorities: PriorityLevels;
 
     public constructor(public readonly configuration: Configuration) {
-        this.priorities = new Priorities(configuration);
+        this.priorities = new PriorityLevels(configuration);
         for (const route of configuration.routes) {
             const routes = this.byHost.get(route.host);
             if (routes === undefined) {
@@ -22,15 +22,15 @@
         this.byHost.forEach(routes => routes.sort((a, b) => b.prefix.length - a.prefix.length));
     }
 
-    /** The route with the longest prefix that begins the path, among those of the host. */
+    /** Returns the route of the host with the longest matching path prefix. */
     public match(hostHeader: string, url: string): Route | undefined {
         const path = url.split("?", 1)[0];
         return this.byHost.get(withoutPort(hostHeader))?.find(route => path.startsWith(route.prefix));
     }
 }
 
-/** The service for one request, by weight; `draw` is between 0 and 1. */
-export function drawTarget(targets: readonly RouteTarget[], draw: number): string {
+/** Selects a service by weight; `draw` is a random number from 0 to 1. */
+export function selectTarget(targets: readonly RouteTarget[], draw: number): string {
     const total = targets.reduce((sum, target) => sum + target.weight, 0);
     let left = draw * total;
     for (const target of targets) {
--- a/packages/forwarding/src/signals.ts
+++ b/packages/forwarding/src/signals.ts
@@ -1,4 +1,4 @@
-/** What the heads of upstreams' answers say of those upstreams, besides what they answer. */
+/** Handles availability signals in response headers: shutdown, rate limits and back-off. */
 import { type AvailabilityBook, UnknownWords } from "@winchpath/availability";
 import { type EventLog, type Metrics } from "@winchpath/core";
 import { type DemandMeter } from "@winchpath/fleet";
@@ -6,7 +6,7 @@
 import { type Job } from "./jobs.js";
 import { type UpstreamLink } from "./links.js";
 
-export interface SignalParts {
+export interface SignalDependencies {
     readonly availability: AvailabilityBook;
     readonly meter: Pick<DemandMeter, "leaving">;
     readonly log: EventLog;
@@ -14,64 +14,65 @@
 }
 
 /**
- * Believes what an upstream says of itself in any answer, also in one that is handed on to nobody: it came on a
- * connection to that upstream. An entry that is cut off from the control group has no other source.
+ * Applies the signals of every response, including those that are not forwarded. An entry that is disconnected from the
+ * control group has no other source.
  */
 export class UpstreamSignals {
-    private readonly unknown: UnknownWords;
+    private readonly unknownHeaders: UnknownWords;
 
-    public constructor(private readonly parts: SignalParts) {
-        this.unknown = new UnknownWords(parts.log, parts.metrics);
+    public constructor(private readonly deps: SignalDependencies) {
+        this.unknownHeaders = new UnknownWords(deps.log, deps.metrics);
     }
 
-    /** `sentAt`: steady time at which the request was sent. */
-    public take(job: Job, link: UpstreamLink, facts: AnswerFacts, sentAt: number): void {
-        if (facts.leaving) {
-            this.takeLeaving(job, link);
+    /** `sentAt`: monotonic time at which the request was sent. */
+    public handle(request: Job, endpoint: UpstreamLink, metadata: AnswerFacts, sentAt: number): void {
+        if (metadata.leaving) {
+            this.handleLeaving(request, endpoint);
         }
-        if (facts.sealed) {
-            // Spoiled answers have names that nobody meant.
-            this.unknown.note(job.service, link.id, facts.unknown);
+        if (metadata.sealed) {
+            // Responses without a seal may come from elsewhere, with arbitrary headers.
+            this.unknownHeaders.note(request.service, endpoint.id, metadata.unknown);
         }
-        if (facts.limitPerSecond !== undefined) {
-            this.takeLimit(job, link, facts.limitPerSecond, sentAt);
+        if (metadata.limitPerSecond !== undefined) {
+            this.handleRateLimit(request, endpoint, metadata.limitPerSecond, sentAt);
         }
         else if (
-            facts.sealed && facts.id === job.id && this.parts.availability.rates.answeredWithout(link.id, sentAt)
+            metadata.sealed && metadata.id === request.id
+            && this.deps.availability.rates.answeredWithout(endpoint.id, sentAt)
         ) {
-            this.parts.log.info("upstream.unlimited", { upstream: link.id, request: job.id });
+            this.deps.log.info("upstream.unlimited", { upstream: endpoint.id, request: request.id });
         }
-        if (facts.restMs !== undefined) {
-            this.takeRest(job, link, facts.restMs);
+        if (metadata.restMs !== undefined) {
+            this.handleBackOff(request, endpoint, metadata.restMs);
         }
-        else if (this.parts.availability.answered(link.id)) {
-            this.parts.log.info("upstream.rested", { upstream: link.id, request: job.id });
+        else if (this.deps.availability.answered(endpoint.id)) {
+            this.deps.log.info("upstream.rested", { upstream: endpoint.id, request: request.id });
         }
     }
 
-    /** From now on nothing new goes there; what runs there ends in its own time. */
-    private takeLeaving(job: Job, link: UpstreamLink): void {
-        if (!this.parts.availability.leaves(link.id)) {
+    /** Stops sending new requests to the upstream; running ones continue. */
+    private handleLeaving(request: Job, endpoint: UpstreamLink): void {
+        if (!this.deps.availability.leaves(endpoint.id)) {
             return;
         }
-        this.parts.log.info("upstream.leaving", { upstream: link.id, told: "answer", request: job.id });
-        this.parts.metrics.count("upstreams_leaving_total", { told: "answer" });
-        this.parts.meter.leaving();
-        link.renewConnections();
+        this.deps.log.info("upstream.leaving", { upstream: endpoint.id, told: "answer", request: request.id });
+        this.deps.metrics.count("upstreams_leaving_total", { told: "answer" });
+        this.deps.meter.leaving();
+        endpoint.renewConnections();
     }
 
-    private takeLimit(job: Job, link: UpstreamLink, perSecond: number, sentAt: number): void {
-        const before = this.parts.availability.rates.name(link.id, perSecond, sentAt);
+    private handleRateLimit(request: Job, endpoint: UpstreamLink, perSecond: number, sentAt: number): void {
+        const before = this.deps.availability.rates.name(endpoint.id, perSecond, sentAt);
         if (before === perSecond) {
             return;
         }
-        this.parts.log.warn("upstream.limited", { upstream: link.id, perSecond, before, request: job.id });
-        this.parts.metrics.count("upstream_limits_total", { service: job.service });
+        this.deps.log.warn("upstream.limited", { upstream: endpoint.id, perSecond, before, request: request.id });
+        this.deps.metrics.count("upstream_limits_total", { service: request.service });
     }
 
-    private takeRest(job: Job, link: UpstreamLink, restMs: number): void {
-        this.parts.availability.rest(link.id, restMs);
-        this.parts.log.warn("upstream.rests", { upstream: link.id, restMs, request: job.id });
-        this.parts.metrics.count("upstream_rests_total", { service: job.service });
+    private handleBackOff(request: Job, endpoint: UpstreamLink, restMs: number): void {
+        this.deps.availability.rest(endpoint.id, restMs);
+        this.deps.log.warn("upstream.rests", { upstream: endpoint.id, restMs, request: request.id });
+        this.deps.metrics.count("upstream_rests_total", { service: request.service });
     }
 }
--- a/packages/forwarding/src/tests/accounts.test.ts
+++ b/packages/forwarding/src/tests/accounts.test.ts
@@ -1,7 +1,7 @@
 import { type ClientAccount, keyDigest } from "@winchpath/declarations";
 import { expect } from "earl";
 import { afterEach, describe, it } from "node:test";
-import { type Arrival, RawUpstream, TestEntry, testRoute, wholeAnswer } from "./standins.js";
+import { completeResponse, RawUpstream, type ReceivedRequest, TestEntry, testRoute } from "./standins.js";
 
 const accounts: ClientAccount[] = [
     { name: "commune", keyDigests: [keyDigest("k1")], priority: 0 },
@@ -12,7 +12,7 @@
     },
 ];
 
-describe("an entry whose configuration sets accounts", () => {
+describe("an entry with client accounts", () => {
     let upstream: RawUpstream;
     let entry: TestEntry;
     afterEach(async () => {
@@ -20,44 +20,46 @@
         upstream.stop();
     });
 
-    const good = ({ id, socket }: Arrival) => socket.write(wholeAnswer(id, "hello"));
+    const respondOk = ({ id, socket }: ReceivedRequest) => socket.write(completeResponse(id, "hello"));
 
-    async function setUp(options: { answer?: (arrival: Arrival) => void; strict?: boolean; isPublic?: boolean; } = {}) {
-        upstream = await RawUpstream.start(options.answer ?? good);
+    async function setUp(
+        options: { handler?: (received: ReceivedRequest) => void; strict?: boolean; isPublic?: boolean; } = {},
+    ) {
+        upstream = await RawUpstream.start(options.handler ?? respondOk);
         const route = testRoute({ isPublic: options.isPublic ?? false });
         const configuration = { ...TestEntry.configuration([route]), accounts };
         entry = new TestEntry(configuration, 10, { strict: options.strict ?? true, withinMs: 5000 });
         await entry.start();
-        entry.learn({ id: "u0@5", name: "u0", address: upstream.address });
+        entry.setUpstreams({ id: "u0@5", name: "u0", address: upstream.address });
         entry.limiter.follow(accounts, 1);
     }
 
     const keyed = (key: string, more: object = {}) => ({ headers: { "X-Key": key, ...more } });
 
-    it("tells the upstream whose request it is, under the upstream's own name", async () => {
+    it("forwards the account and the upstream's name to the upstream", async () => {
         await setUp();
         expect((await entry.call("q1", keyed("k1"))).status).toEqual(200);
-        expect(upstream.arrivals[0].head).toInclude("X-Account: commune");
-        expect(upstream.arrivals[0].head).toInclude("X-Upstream: u0\r\n");
+        expect(upstream.received[0].head).toInclude("X-Account: commune");
+        expect(upstream.received[0].head).toInclude("X-Upstream: u0\r\n");
     });
 
-    it("refuses an unknown key and a missing one, without asking an upstream", async () => {
+    it("rejects unknown and missing keys without forwarding the request", async () => {
         await setUp();
-        const answers = [await entry.call("q1", keyed("other")), await entry.call("q2")];
-        expect(answers.map(({ status, headers }) => [status, headers["www-authenticate"]])).toEqual([
+        const responses = [await entry.call("q1", keyed("other")), await entry.call("q2")];
+        expect(responses.map(({ status, headers }) => [status, headers["www-authenticate"]])).toEqual([
             [401, "Bearer"],
             [401, "Bearer"],
         ]);
-        expect(upstream.arrivals.length).toEqual(0);
+        expect(upstream.received.length).toEqual(0);
     });
 
-    it("asks for no key on a public route, and names nobody", async () => {
+    it("requires no key on a public route and forwards no account", async () => {
         await setUp({ isPublic: true });
         expect((await entry.call("q1")).status).toEqual(200);
-        expect(upstream.arrivals[0].head).not.toInclude("X-Account");
+        expect(upstream.received[0].head).not.toInclude("X-Account");
     });
 
-    it("refuses with 429 beyond the limit, and says when to come back", async () => {
+    it("returns 429 with Retry-After above the limit", async () => {
         await setUp();
         entry.limiter.take([], [{
             account: "small",
@@ -73,19 +75,21 @@
         expect((await entry.call("q3", keyed("k1"))).status).toEqual(200);
     });
 
-    it("gives back what it took where the request ran nowhere", async () => {
-        await setUp({ answer: ({ id, socket }) => socket.write(wholeAnswer(id, "", "X-Not-Run: 1\r\n", "503 Busy")) });
+    it("refunds a request that was not executed", async () => {
+        await setUp({
+            handler: ({ id, socket }) => socket.write(completeResponse(id, "", "X-Not-Run: 1\r\n", "503 Busy")),
+        });
         expect((await entry.call("q1", keyed("k2"))).status).toEqual(503);
         expect(entry.limiter.counts().map(({ used, asked }) => [used, asked])).toEqual([[0, 1]]);
     });
 
-    it("keeps what it took where the request may have run", async () => {
-        await setUp({ answer: ({ socket }) => socket.destroy() });
+    it("does not refund a request that may have been executed", async () => {
+        await setUp({ handler: ({ socket }) => socket.destroy() });
         await entry.call("q1", { method: "POST", ...keyed("k2") });
         expect(entry.limiter.counts().map(({ used }) => used)).toEqual([1]);
     });
 
-    it("serves no key once control was out of touch for the bound, not even one whose request waits", async t => {
+    it("rejects all keys once control has been unreachable for the revocation time", async t => {
         t.mock.timers.enable({ apis: ["Date"], now: Date.now() });
         await setUp();
         expect((await entry.call("q1", keyed("k1"))).status).toEqual(200);
@@ -96,6 +100,6 @@
             JSON.stringify({ error: "keys-unconfirmed" }),
             "close",
         ]);
-        expect(upstream.arrivals.length).toEqual(1);
+        expect(upstream.received.length).toEqual(1);
     });
 });
