--- a/packages/forwarding/src/tests/quarantine.test.ts
+++ b/packages/forwarding/src/tests/quarantine.test.ts
@@ -2,30 +2,30 @@
 import { type ListedRequest } from "@winchpath/quarantine";
 import { expect } from "earl";
 import { afterEach, describe, it } from "node:test";
-import { type Arrival, type RawUpstream, type TestEntry, TestStage, wholeAnswer } from "./standins.js";
+import { completeResponse, type RawUpstream, type ReceivedRequest, type TestEntry, TestSetup } from "./standins.js";
 
-const body = "ends what runs it";
-const asked = { method: "POST", body } as const;
+const body = "crashes upstreams";
+const testRequest = { method: "POST", body } as const;
 
-describe("an entry, of requests under which upstreams end,", () => {
-    let stage: TestStage;
+describe("an entry that receives requests that crash upstreams", () => {
+    let setup: TestSetup;
     let entry: TestEntry;
 
-    afterEach(() => stage.stop());
+    afterEach(() => setup.stop());
 
     async function start(
         route: Partial<Route>,
-        ...answers: ((arrival: Arrival, count: number) => void)[]
+        ...handlers: ((received: ReceivedRequest, count: number) => void)[]
     ): Promise<readonly RawUpstream[]> {
-        stage = await TestStage.start(route, answers);
-        entry = stage.entry;
-        return stage.upstreams;
+        setup = await TestSetup.start(route, handlers);
+        entry = setup.entry;
+        return setup.upstreams;
     }
 
-    const good = ({ id, socket }: Arrival) => socket.write(wholeAnswer(id, "hello"));
-    const end = ({ socket }: Arrival) => socket.destroy();
+    const respondOk = ({ id, socket }: ReceivedRequest) => socket.write(completeResponse(id, "hello"));
+    const disconnect = ({ socket }: ReceivedRequest) => socket.destroy();
 
-    /** What the entry calls the request that is asked for. */
+    /** Returns the fingerprint of the test request. */
     function fingerprint(): string {
         return entry.view.quarantine.fingerprint({
             method: "POST",
@@ -43,70 +43,70 @@
         entry.view.quarantine.take({ position, whole: false, listed, removed: [] });
     }
 
-    it("refuses a barred one at once, with a problem document and no time to come back, whatever its id", async () => {
-        const [only] = await start({}, good);
+    it("rejects a quarantined request with a problem document and no Retry-After, whatever its id", async () => {
+        const [only] = await start({}, respondOk);
         list("barred");
-        const answer = await entry.call("q1", asked);
-        expect([answer.status, answer.headers["content-type"]]).toEqual([422, "application/problem+json"]);
-        expect(answer.headers["retry-after"]).toEqual(undefined);
-        const problem = JSON.parse(answer.body) as Record<string, unknown>;
+        const response = await entry.call("q1", testRequest);
+        expect([response.status, response.headers["content-type"]]).toEqual([422, "application/problem+json"]);
+        expect(response.headers["retry-after"]).toEqual(undefined);
+        const problem = JSON.parse(response.body) as Record<string, unknown>;
         expect([problem.type, problem.status]).toEqual(["urn:winchpath:problem:ends-upstreams", 422]);
-        expect((await entry.call("q2", asked)).status).toEqual(422);
-        expect(only.arrivals.length).toEqual(0);
+        expect((await entry.call("q2", testRequest)).status).toEqual(422);
+        expect(only.received.length).toEqual(0);
     });
 
-    it("serves others of the same size and path", async () => {
-        await start({}, good);
+    it("forwards other requests with the same size and path", async () => {
+        await start({}, respondOk);
         list("barred");
         expect((await entry.call("q1", { method: "POST", body: "x".repeat(body.length) })).status).toEqual(200);
     });
 
-    it("refuses one that is barred while it waits, and doesn't send it first", async () => {
+    it("rejects a request that is quarantined while it waits, without sending it", async () => {
         const [only] = await start({ kind: "unsafe", objectiveMs: 10_000 }, () => undefined);
-        entry.learn({ id: "u0", address: only.address, slots: 0 });
-        const waiting = entry.call("q1", asked);
-        await entry.untilOpen(1);
+        entry.setUpstreams({ id: "u0", address: only.address, slots: 0 });
+        const waiting = entry.call("q1", testRequest);
+        await entry.waitForActiveRequests(1);
         list("barred");
         entry.forwarder.refresh();
         expect((await waiting).status).toEqual(422);
-        expect(only.arrivals.length).toEqual(0);
+        expect(only.received.length).toEqual(0);
     });
 
-    it("tells of one that ran at an upstream whose connection was lost", async () => {
-        await start({ kind: "unsafe" }, end);
-        expect((await entry.call("q1", asked)).status).toEqual(502);
-        expect(entry.lost).toEqual([{ upstream: "u0", fingerprint: fingerprint() }]);
+    it("reports a request during which the connection was lost", async () => {
+        await start({ kind: "unsafe" }, disconnect);
+        expect((await entry.call("q1", testRequest)).status).toEqual(502);
+        expect(entry.crashReports).toEqual([{ upstream: "u0", fingerprint: fingerprint() }]);
     });
 
-    it("tells nothing of one that an upstream fails, refuses or leaves unanswered", async () => {
-        const failing = ({ id, socket }: Arrival) => socket.write(wholeAnswer(id, "no", "", "500 Bad"));
+    it("does not report requests that fail or time out", async () => {
+        const failing = ({ id, socket }: ReceivedRequest) => socket.write(completeResponse(id, "no", "", "500 Bad"));
         await start({ kind: "unsafe", timeoutMs: 200 }, failing, () => undefined);
-        await entry.call("q1", asked);
-        await entry.call("q2", asked);
-        expect(entry.lost).toEqual([]);
+        await entry.call("q1", testRequest);
+        await entry.call("q2", testRequest);
+        expect(entry.crashReports).toEqual([]);
     });
 
-    it("tells nothing of one that came to a good end here lately", async () => {
-        await start({ kind: "unsafe" }, (arrival, count) => count === 1 ? good(arrival) : end(arrival));
-        await entry.call("q1", asked);
-        await entry.call("q2", asked);
-        expect(entry.lost).toEqual([]);
+    it("does not report a request that succeeded recently", async () => {
+        await start({ kind: "unsafe" }, (received, count) => count === 1 ? respondOk(received) : disconnect(received));
+        await entry.call("q1", testRequest);
+        await entry.call("q2", testRequest);
+        expect(entry.crashReports).toEqual([]);
     });
 
-    it("tells of a good end of a suspected one", async () => {
-        await start({}, good);
+    it("reports the success of a suspected request", async () => {
+        await start({}, respondOk);
         list("suspected");
-        expect((await entry.call("q1", asked)).status).toEqual(200);
-        expect(entry.endedWell).toEqual([fingerprint()]);
+        expect((await entry.call("q1", testRequest)).status).toEqual(200);
+        expect(entry.successReports).toEqual([fingerprint()]);
     });
 
-    it("makes no second try of a suspected one, and two tries of others at most", async () => {
-        const all = await start({ maxAttempts: 3 }, end, end, end);
-        const arrivals = () => all.reduce((sum, { arrivals }) => sum + arrivals.length, 0);
-        await entry.call("q1", asked);
-        expect(arrivals()).toEqual(2);
+    it("does not retry a suspected request, and attempts others at most twice", async () => {
+        const all = await start({ maxAttempts: 3 }, disconnect, disconnect, disconnect);
+        const receivedCount = () => all.reduce((sum, { received }) => sum + received.length, 0);
+        await entry.call("q1", testRequest);
+        expect(receivedCount()).toEqual(2);
         list("suspected");
-        await entry.call("q2", asked);
-        expect(arrivals()).toEqual(3);
+        await entry.call("q2", testRequest);
+        expect(receivedCount()).toEqual(3);
     });
 });
--- a/packages/forwarding/src/tests/signals.test.ts
+++ b/packages/forwarding/src/tests/signals.test.ts
@@ -3,36 +3,36 @@
 import { UpstreamState } from "@winchpath/fleet";
 import { expect } from "earl";
 import { afterEach, describe, it } from "node:test";
-import { type Arrival, type RawUpstream, type TestEntry, TestStage, wholeAnswer } from "./standins.js";
+import { completeResponse, type RawUpstream, type ReceivedRequest, type TestEntry, TestSetup } from "./standins.js";
 
-describe("an entry, of what upstreams say of themselves,", () => {
-    let stage: TestStage;
+describe("an entry that receives availability signals", () => {
+    let setup: TestSetup;
     let entry: TestEntry;
 
-    afterEach(() => stage.stop());
+    afterEach(() => setup.stop());
 
     async function start(
         route: Partial<Route>,
-        ...answers: ((arrival: Arrival, count: number) => void)[]
+        ...handlers: ((received: ReceivedRequest, count: number) => void)[]
     ): Promise<readonly RawUpstream[]> {
-        stage = await TestStage.start(route, answers);
-        entry = stage.entry;
-        return stage.upstreams;
+        setup = await TestSetup.start(route, handlers);
+        entry = setup.entry;
+        return setup.upstreams;
     }
 
-    const good = ({ id, socket }: Arrival) => socket.write(wholeAnswer(id, "hello"));
-    /** The fewest that an entry opens to an upstream. */
+    const respondOk = ({ id, socket }: ReceivedRequest) => socket.write(completeResponse(id, "hello"));
+    /** The entry's minimum number of connections to an upstream. */
     const connections = 4;
     const leaving = "X-Leaving: 1\r\n";
-    const declines = "X-Not-Run: 1\r\n";
+    const notRun = "X-Not-Run: 1\r\n";
     const unavailable = "503 Service Unavailable";
 
-    function restFor(seconds: number) {
-        return ({ id, socket }: Arrival) =>
-            socket.write(wholeAnswer(id, "no", `${declines}Retry-After: ${seconds}\r\n`, unavailable));
+    function backOffFor(seconds: number) {
+        return ({ id, socket }: ReceivedRequest) =>
+            socket.write(completeResponse(id, "no", `${notRun}Retry-After: ${seconds}\r\n`, unavailable));
     }
 
-    /** Statuses of so many requests, one after the other. */
+    /** Sends requests one after the other and returns their statuses. */
     async function call(count: number): Promise<number[]> {
         const statuses: number[] = [];
         for (let index = 0; index < count; index++) {
@@ -41,26 +41,31 @@
         return statuses;
     }
 
-    describe("sends nothing more to one that says that it leaves", () => {
+    describe("sends no new requests to an upstream that announces its shutdown", () => {
         for (
-            const [what, answer] of [
-                ["a success", ({ id, socket }: Arrival) => socket.write(wholeAnswer(id, "bye", leaving))],
-                ["a failure", ({ id, socket }: Arrival) => socket.write(wholeAnswer(id, "", leaving, "500 Error"))],
+            const [what, handler] of [
+                ["a success", ({ id, socket }: ReceivedRequest) => socket.write(completeResponse(id, "bye", leaving))],
+                [
+                    "a failure",
+                    ({ id, socket }: ReceivedRequest) => socket.write(completeResponse(id, "", leaving, "500 Error")),
+                ],
                 [
                     "a 421",
-                    ({ id, socket }: Arrival) => socket.write(wholeAnswer(id, "", leaving, "421 Misdirected")),
+                    ({ id, socket }: ReceivedRequest) =>
+                        socket.write(completeResponse(id, "", leaving, "421 Misdirected")),
                 ],
                 [
                     "a 503",
-                    ({ id, socket }: Arrival) => socket.write(wholeAnswer(id, "", leaving + declines, unavailable)),
+                    ({ id, socket }: ReceivedRequest) =>
+                        socket.write(completeResponse(id, "", leaving + notRun, unavailable)),
                 ],
                 [
-                    "an answer of another request",
-                    ({ socket }: Arrival) => socket.write(wholeAnswer("other", "", leaving)),
+                    "a response to another request",
+                    ({ socket }: ReceivedRequest) => socket.write(completeResponse("other", "", leaving)),
                 ],
                 [
-                    "an answer that breaks off",
-                    ({ id, socket }: Arrival) =>
+                    "a truncated response",
+                    ({ id, socket }: ReceivedRequest) =>
                         socket.end(
                             `HTTP/1.1 200 OK\r\nX-Id: ${id}\r\nX-Seal: s\r\n${leaving}Content-Length: 9\r\n\r\nab`,
                         ),
@@ -68,43 +73,46 @@
             ] as const
         ) {
             it(`in ${what}`, async () => {
-                const [leaver, other] = await start({}, answer, good);
-                while (leaver.arrivals.length === 0) {
+                const [stoppingUpstream, other] = await start({}, handler, respondOk);
+                while (stoppingUpstream.received.length === 0) {
                     await call(1);
                 }
-                const before = other.arrivals.length;
+                const before = other.received.length;
                 expect(await call(5)).toEqual([200, 200, 200, 200, 200]);
-                expect([leaver.arrivals.length, other.arrivals.length]).toEqual([1, before + 5]);
+                expect([stoppingUpstream.received.length, other.received.length]).toEqual([1, before + 5]);
             });
         }
 
-        it("whatever the leader says of it later; another incarnation takes requests at once", async () => {
-            const [leaver] = await start({}, (arrival, count) => count > 1 ? good(arrival) : answerLeaving(arrival));
+        it("even if the leader reports it as ready, until it restarts", async () => {
+            const [stoppingUpstream] = await start(
+                {},
+                (received, count) => count > 1 ? respondOk(received) : respondLeaving(received),
+            );
             expect(await call(1)).toEqual([200]);
-            const { address } = leaver;
-            entry.learn({ id: "u0", address, state: UpstreamState.READY, slots: 9 });
+            const { address } = stoppingUpstream;
+            entry.setUpstreams({ id: "u0", address, state: UpstreamState.READY, slots: 9 });
             expect(await call(1)).toEqual([503]);
-            entry.learn({ id: "u0@2", name: "u0", born: 2n, address });
+            entry.setUpstreams({ id: "u0@2", name: "u0", born: 2n, address });
             expect(await call(1)).toEqual([200]);
-            expect(leaver.arrivals.length).toEqual(2);
+            expect(stoppingUpstream.received.length).toEqual(2);
         });
 
-        it("and leaves what runs there to its end, while idle connections are closed", async () => {
+        it("but lets running requests finish and closes idle connections", async () => {
             let finish = () => {};
-            const [only] = await start({ timeoutMs: 5000 }, (arrival, count) => {
+            const [only] = await start({ timeoutMs: 5000 }, (received, count) => {
                 if (count === 1) {
-                    finish = () => void good(arrival);
+                    finish = () => void respondOk(received);
                     return;
                 }
-                answerLeaving(arrival);
+                respondLeaving(received);
             });
             const running = entry.call("slow");
-            await entry.untilOpen(1);
-            while (only.arrivals.length === 0) {
+            await entry.waitForActiveRequests(1);
+            while (only.received.length === 0) {
                 await new Promise(resolve => setImmediate(resolve));
             }
             expect((await entry.call("quick")).status).toEqual(200);
-            const quick = only.arrivals[1].socket;
+            const quick = only.received[1].socket;
             while (!quick.destroyed && !quick.readableEnded) {
                 await new Promise(resolve => setImmediate(resolve));
             }
@@ -112,48 +120,49 @@
             expect((await running).status).toEqual(200);
         });
 
-        it("also where the request was chosen for it before and waits for a connection", async () => {
-            const held: Arrival[] = [];
-            stage = await TestStage.start({ timeoutMs: 2000 }, [arrival => held.push(arrival)], connections);
-            entry = stage.entry;
-            const [only] = stage.upstreams;
+        it("including requests that already wait for a connection to it", async () => {
+            const pending: ReceivedRequest[] = [];
+            setup = await TestSetup.start({ timeoutMs: 2000 }, [received => pending.push(received)], connections);
+            entry = setup.entry;
+            const [only] = setup.upstreams;
             const calls = Array.from({ length: 10 }, (_, index) => entry.call(`q${index}`));
-            await entry.untilOpen(calls.length);
-            while (held.length < connections) {
+            await entry.waitForActiveRequests(calls.length);
+            while (pending.length < connections) {
                 await new Promise(resolve => setImmediate(resolve));
             }
-            held.forEach((arrival, index) => index === 0 ? answerLeaving(arrival) : good(arrival));
+            pending.forEach((received, index) => index === 0 ? respondLeaving(received) : respondOk(received));
             const statuses = (await Promise.all(calls)).map(({ status }) => status).sort();
-            expect(only.arrivals.length).toEqual(connections);
+            expect(only.received.length).toEqual(connections);
             expect(statuses).toEqual([200, 200, 200, 200, 503, 503, 503, 503, 503, 503]);
         });
     });
 
-    function answerLeaving({ id, socket }: Arrival): void {
-        socket.write(wholeAnswer(id, "bye", leaving));
+    function respondLeaving({ id, socket }: ReceivedRequest): void {
+        socket.write(completeResponse(id, "bye", leaving));
     }
 
-    describe("sends nothing without a permit to one that names a rate", () => {
-        const limited = ({ id, socket }: Arrival) => socket.write(wholeAnswer(id, "hello", "X-Limit: 1\r\n"));
+    describe("sends requests to a rate-limited upstream only with a permit", () => {
+        const limited = ({ id, socket }: ReceivedRequest) =>
+            socket.write(completeResponse(id, "hello", "X-Limit: 1\r\n"));
 
-        /** Grants permits, as the leader would. */
+        /** Grants permits in place of the leader. */
         function grant(upstream: string, permits: number): void {
             const grants = [{ upstream, permits, lifted: false, lifeMs: 10_000, dryMs: 0 }];
             entry.view.availability.rates.answered([], grants, { epoch: "1", askedAt: steadyNow() });
         }
 
-        it("and the other serves", async () => {
-            const [a, b] = await start({}, limited, good);
+        it("and uses another upstream instead", async () => {
+            const [a, b] = await start({}, limited, respondOk);
             await call(1);
-            while (a.arrivals.length === 0) {
+            while (a.received.length === 0) {
                 await call(1);
             }
-            const before = b.arrivals.length;
+            const before = b.received.length;
             expect(await call(5)).toEqual([200, 200, 200, 200, 200]);
-            expect([a.arrivals.length, b.arrivals.length]).toEqual([1, before + 5]);
+            expect([a.received.length, b.received.length]).toEqual([1, before + 5]);
         });
 
-        it("but refuses at once where all do, and says when to return; a permit lets one go", async () => {
+        it("and rejects requests with Retry-After if all upstreams are limited, until a permit is granted", async () => {
             const [a, b] = await start({ objectiveMs: 100 }, limited, limited);
             expect(await call(2)).toEqual([200, 200]);
             const refused = await entry.call("q");
@@ -161,26 +170,26 @@
             expect(Number(refused.headers["retry-after"])).toBeGreaterThan(0);
             grant("u0", 1);
             expect(await call(2)).toEqual([200, 503]);
-            expect([a.arrivals.length, b.arrivals.length]).toEqual([2, 1]);
+            expect([a.received.length, b.received.length]).toEqual([2, 1]);
         });
 
-        it("also where the request was chosen for it before and waits for a connection", async () => {
-            const held: Arrival[] = [];
-            stage = await TestStage.start({ timeoutMs: 2000 }, [arrival => held.push(arrival)], connections);
-            entry = stage.entry;
-            const [only] = stage.upstreams;
+        it("including requests that already wait for a connection to it", async () => {
+            const pending: ReceivedRequest[] = [];
+            setup = await TestSetup.start({ timeoutMs: 2000 }, [received => pending.push(received)], connections);
+            entry = setup.entry;
+            const [only] = setup.upstreams;
             const calls = Array.from({ length: 10 }, (_, index) => entry.call(`q${index}`));
-            await entry.untilOpen(calls.length);
-            while (held.length < connections) {
+            await entry.waitForActiveRequests(calls.length);
+            while (pending.length < connections) {
                 await new Promise(resolve => setImmediate(resolve));
             }
-            held.forEach(limited);
+            pending.forEach(limited);
             const statuses = (await Promise.all(calls)).map(({ status }) => status).sort();
-            expect(only.arrivals.length).toEqual(connections);
+            expect(only.received.length).toEqual(connections);
             expect(statuses).toEqual([200, 200, 200, 200, 503, 503, 503, 503, 503, 503]);
         });
 
-        it("and asks for permits of the one that it would have chosen", async () => {
+        it("and requests permits for the preferred upstream", async () => {
             await start({ objectiveMs: 100 }, limited);
             await call(2);
             const [report] = entry.view.availability.rates.reports("1");
@@ -191,77 +200,80 @@
             ]);
         });
 
-        it("until an answer names none any more", async () => {
+        it("until a response no longer sets a limit", async () => {
             const [only] = await start(
                 { objectiveMs: 100 },
-                (arrival, count) => count === 1 ? limited(arrival) : good(arrival),
+                (received, count) => count === 1 ? limited(received) : respondOk(received),
             );
             expect(await call(2)).toEqual([200, 503]);
             grant("u0", 1);
             expect(await call(3)).toEqual([200, 200, 200]);
-            expect(only.arrivals.length).toEqual(4);
+            expect(only.received.length).toEqual(4);
         });
     });
 
-    describe("sends nothing to one that wants rest", () => {
-        it("for so long, and the other serves, though more than half of them rest", async () => {
-            const [a, b, c] = await start({ maxAttempts: 3 }, restFor(5), restFor(5), good);
+    describe("sends nothing to an upstream that requests a back-off", () => {
+        it("and uses the others, even if most upstreams back off", async () => {
+            const [a, b, c] = await start({ maxAttempts: 3 }, backOffFor(5), backOffFor(5), respondOk);
             const statuses = await call(20);
             expect(statuses.filter(status => status !== 200)).toEqual([]);
-            expect([a.arrivals.length <= 1, b.arrivals.length <= 1, c.arrivals.length]).toEqual([true, true, 20]);
+            expect([a.received.length <= 1, b.received.length <= 1, c.received.length]).toEqual([true, true, 20]);
         });
 
-        it("but refuses at once where all do, with the end of the rest that ends first", async () => {
-            const [a, b] = await start({ objectiveMs: 3000 }, restFor(20), restFor(10));
+        it("and rejects requests at once if all do, with the earliest end as Retry-After", async () => {
+            const [a, b] = await start({ objectiveMs: 3000 }, backOffFor(20), backOffFor(10));
             await call(1);
             const startedAt = Date.now();
-            const answer = await entry.call("q");
-            expect(answer.status).toEqual(503);
-            // It might have waited for a fifth of its objective otherwise.
+            const response = await entry.call("q");
+            expect(response.status).toEqual(503);
+            // Without a back-off the request would wait for a fifth of its objective.
             expect(Date.now() - startedAt).toBeLessThan(400);
-            const seconds = Number(answer.headers["retry-after"]);
+            const seconds = Number(response.headers["retry-after"]);
             expect(seconds > 9 && seconds < 13).toEqual(true);
-            expect(a.arrivals.length + b.arrivals.length).toEqual(2);
+            expect(a.received.length + b.received.length).toEqual(2);
         });
 
-        it("and waits for the end of one that ends while a second try is in time", async () => {
+        it("but waits for the end of a back-off that is short enough", async () => {
             const [only] = await start(
                 { objectiveMs: 3000 },
-                (arrival, count) => count === 1 ? restFor(0.3)(arrival) : good(arrival),
+                (received, count) => count === 1 ? backOffFor(0.3)(received) : respondOk(received),
             );
             expect((await entry.call("q1")).status).toEqual(503);
             expect((await entry.call("q2")).status).toEqual(200);
-            expect(only.arrivals.length).toEqual(2);
+            expect(only.received.length).toEqual(2);
         });
 
-        it("and lets it in again by one request", async () => {
-            const held: Arrival[] = [];
-            const [only] = await start({ objectiveMs: 300, timeoutMs: 5000 }, (arrival, count) => {
+        it("and sends a single request first when the back-off ends", async () => {
+            const pending: ReceivedRequest[] = [];
+            const [only] = await start({ objectiveMs: 300, timeoutMs: 5000 }, (received, count) => {
                 if (count === 1) {
-                    restFor(0.2)(arrival);
+                    backOffFor(0.2)(received);
                     return;
                 }
-                held.push(arrival);
+                pending.push(received);
             });
             await call(1);
             await new Promise(resolve => setTimeout(resolve, 220));
             const first = entry.call("first");
-            while (held.length === 0) {
+            while (pending.length === 0) {
                 await new Promise(resolve => setImmediate(resolve));
             }
             const others = await Promise.all(["b", "c", "d"].map(id => entry.call(id)));
             expect(others.map(({ status }) => status)).toEqual([503, 503, 503]);
-            expect(only.arrivals.length).toEqual(2);
-            good(held[0]);
+            expect(only.received.length).toEqual(2);
+            respondOk(pending[0]);
             expect((await first).status).toEqual(200);
         });
 
-        it("and takes no rest from an answer that asks for none it can read", async () => {
-            const unreadable = ({ id, socket }: Arrival) =>
-                socket.write(wholeAnswer(id, "no", `${declines}Retry-After: soon\r\n`, unavailable));
-            const [only] = await start({}, (arrival, count) => count === 1 ? unreadable(arrival) : good(arrival));
+        it("and ignores an invalid Retry-After", async () => {
+            const unreadable = ({ id, socket }: ReceivedRequest) =>
+                socket.write(completeResponse(id, "no", `${notRun}Retry-After: soon\r\n`, unavailable));
+            const [only] = await start(
+                {},
+                (received, count) => count === 1 ? unreadable(received) : respondOk(received),
+            );
             expect(await call(2)).toEqual([503, 200]);
-            expect(only.arrivals.length).toEqual(2);
+            expect(only.received.length).toEqual(2);
         });
     });
 });
--- a/packages/forwarding/src/tests/standins.ts
+++ b/packages/forwarding/src/tests/standins.ts
@@ -1,4 +1,4 @@
-/** An upstream that answers as a test says, byte by byte, and an entry in one process. */
+/** An upstream with scripted raw responses, and an entry in the same process. */
 import { create } from "@bufbuild/protobuf";
 import { AccountLimiter, Authenticator, type RevocationOptions } from "@winchpath/accounts";
 import { Metrics, ratePerSecond, retryAfterMs, silentLog, steadyNow } from "@winchpath/core";
@@ -17,7 +17,7 @@
     withoutConnectionHeaders,
 } from "../index.js";
 
-/** Header names of these tests. */
+/** Maps metadata to simple header names. */
 export const testCodec: RequestCodec = {
     requestFacts: headers => ({
         id: headerOf(headers, "x-id"),
@@ -56,26 +56,26 @@
     }),
 };
 
-/** What an upstream has got of one request. */
-export interface Arrival {
+/** A request as received by an upstream. */
+export interface ReceivedRequest {
     readonly id: string;
     readonly head: string;
     readonly body: string;
     readonly socket: Socket;
 }
 
-/** Speaks HTTP/1.1 in raw bytes. */
+/** An HTTP/1.1 server whose responses are raw bytes. */
 export class RawUpstream {
-    public readonly arrivals: Arrival[] = [];
+    public readonly received: ReceivedRequest[] = [];
     private readonly sockets = new Set<Socket>();
 
     private constructor(private readonly server: Server) {}
 
-    /** `answer` writes to the arrival's socket whatever the test wants. */
-    public static async start(answer: (arrival: Arrival, count: number) => void): Promise<RawUpstream> {
+    /** `handler` writes the response to the request's socket. */
+    public static async start(handler: (received: ReceivedRequest, count: number) => void): Promise<RawUpstream> {
         const server = createServer();
         const upstream = new RawUpstream(server);
-        server.on("connection", socket => upstream.serve(socket, answer));
+        server.on("connection", socket => upstream.serve(socket, handler));
         server.listen(0, "127.0.0.1");
         await once(server, "listening");
         return upstream;
@@ -90,7 +90,7 @@
         this.sockets.forEach(socket => socket.destroy());
     }
 
-    private serve(socket: Socket, answer: (arrival: Arrival, count: number) => void): void {
+    private serve(socket: Socket, handler: (received: ReceivedRequest, count: number) => void): void {
         this.sockets.add(socket);
         socket.on("close", () => this.sockets.delete(socket));
         socket.on("error", () => undefined);
@@ -107,16 +107,16 @@
                 return;
             }
             const id = /x-id: (\S+)/i.exec(head)?.[1] ?? "";
-            const arrival = { id, head, body: text.slice(end + 4, end + 4 + length), socket };
+            const received = { id, head, body: text.slice(end + 4, end + 4 + length), socket };
             text = text.slice(end + 4 + length);
-            this.arrivals.push(arrival);
-            answer(arrival, this.arrivals.length);
+            this.received.push(received);
+            handler(received, this.received.length);
         });
     }
 }
 
-/** A whole answer of an upstream; `headers` end each with CRLF. */
-export function wholeAnswer(id: string, body: string, headers = "", status = "200 OK"): string {
+/** Formats a complete response; each of `headers` ends with CRLF. */
+export function completeResponse(id: string, body: string, headers = "", status = "200 OK"): string {
     return `HTTP/1.1 ${status}\r\nX-Id: ${id}\r\nX-Seal: s\r\n${headers}Content-Length: ${body.length}\r\n\r\n${body}`;
 }
 
@@ -138,28 +138,28 @@
     };
 }
 
-/** What a caller got. */
-export interface CallerAnswer {
+/** A response as received by a client. */
+export interface ClientResponse {
     readonly status: number;
     readonly headers: IncomingMessage["headers"];
     readonly body: string;
-    /** Whether the answer ended as it should. */
+    /** Whether the response ended regularly. */
     readonly whole: boolean;
 }
 
-const noTolerance = { windowMs: 0, overage: 0, slack: 0 };
+const exactLimits = { windowMs: 0, overage: 0, slack: 0 };
 
-/** An entry whose view a test fills by hand. */
+/** An entry whose fleet view is set by the test. */
 export class TestEntry {
     public readonly view: FleetView<Configuration>;
     public readonly meter = new DemandMeter(silentLog);
-    /** Suspects that were told, by upstream. */
-    public readonly lost: { readonly upstream: string; readonly fingerprint: string; }[] = [];
-    public readonly endedWell: string[] = [];
+    /** Reported suspects, by upstream. */
+    public readonly crashReports: { readonly upstream: string; readonly fingerprint: string; }[] = [];
+    public readonly successReports: string[] = [];
     public readonly forwarder: Forwarder;
-    public readonly door: CallerDoor;
+    public readonly listener: CallerDoor;
     public stopping = false;
-    public readonly limiter = new AccountLimiter(noTolerance, () => undefined);
+    public readonly limiter = new AccountLimiter(exactLimits, () => undefined);
     private position = 0n;
 
     public constructor(
@@ -179,12 +179,12 @@
             budget: { ratio: 0.2, slack, windowMs: 10_000 },
             admissions,
             crashes: {
-                lost: ({ id }, { fingerprint }) => this.lost.push({ upstream: id, fingerprint }),
-                succeeded: fingerprint => this.endedWell.push(fingerprint),
+                lost: ({ id }, { fingerprint }) => this.crashReports.push({ upstream: id, fingerprint }),
+                succeeded: fingerprint => this.successReports.push(fingerprint),
             },
             stopping: () => this.stopping,
         });
-        this.door = new CallerDoor({
+        this.listener = new CallerDoor({
             view: this.view,
             codec: testCodec,
             forwarder: this.forwarder,
@@ -204,11 +204,11 @@
     }
 
     public async start(): Promise<void> {
-        await this.door.listen({ host: "127.0.0.1", port: 0 });
+        await this.listener.listen({ host: "127.0.0.1", port: 0 });
     }
 
-    /** Puts upstreams into the view, as the leader would. */
-    public learn(...upstreams: Partial<Upstream>[]): void {
+    /** Updates upstreams in the fleet view in place of the leader. */
+    public setUpstreams(...upstreams: Partial<Upstream>[]): void {
         this.position += 1n;
         this.view.take({
             $typeName: "winchpath.fleet.v1.PollResponse",
@@ -242,15 +242,15 @@
             unquarantined: [],
             quorumAgeMs: 0,
         }, steadyNow());
-        this.door.refresh();
+        this.listener.refresh();
         this.forwarder.refresh();
     }
 
-    /** Sends a request and reads what comes. */
+    /** Sends a request and reads the complete response. */
     public call(
         id: string,
         options: { path?: string; method?: string; body?: string; headers?: object; agent?: Agent; } = {},
-    ): Promise<CallerAnswer> {
+    ): Promise<ClientResponse> {
         return new Promise((resolve, reject) => {
             const req = this.open(id, options);
             req.on("error", reject);
@@ -277,7 +277,7 @@
     ): ClientRequest {
         return request({
             host: "127.0.0.1",
-            port: this.door.port,
+            port: this.listener.port,
             agent: options.agent ?? false,
             path: options.path ?? "/a/b?c=%41",
             method: options.method ?? "GET",
@@ -285,38 +285,38 @@
         });
     }
 
-    /** Waits until so many requests are being served. */
-    public async untilOpen(count: number): Promise<void> {
-        while (this.door.open < count) {
+    /** Waits until that many requests are in progress. */
+    public async waitForActiveRequests(count: number): Promise<void> {
+        while (this.listener.activeRequests < count) {
             await new Promise(resolve => setImmediate(resolve));
         }
     }
 
     public async stop(): Promise<void> {
-        await this.door.close(0);
+        await this.listener.close(0);
         this.forwarder.close();
     }
 }
 
-type Answering = (arrival: Arrival, count: number) => void;
+type RequestHandler = (received: ReceivedRequest, count: number) => void;
 
-/** An entry and the upstreams of its one service, u0, u1 and so on, one for each of `answers`. */
-export class TestStage {
+/** An entry with one service and its upstreams u0, u1 and so on, one for each handler. */
+export class TestSetup {
     private constructor(public readonly entry: TestEntry, public readonly upstreams: readonly RawUpstream[]) {}
 
-    /** `connections`: that an upstream takes; the configuration's usual number, where none is given. */
+    /** `connections`: maximum connections to an upstream. */
     public static async start(
         route: Partial<Route>,
-        answers: readonly Answering[],
+        handlers: readonly RequestHandler[],
         connections?: number,
-    ): Promise<TestStage> {
-        const usual = TestEntry.configuration([testRoute(route)]);
-        const services = connections === undefined ? usual.services : [{ name: "s", maxConnections: connections }];
-        const entry = new TestEntry({ ...usual, services });
+    ): Promise<TestSetup> {
+        const defaults = TestEntry.configuration([testRoute(route)]);
+        const services = connections === undefined ? defaults.services : [{ name: "s", maxConnections: connections }];
+        const entry = new TestEntry({ ...defaults, services });
         await entry.start();
-        const upstreams = await Promise.all(answers.map(answer => RawUpstream.start(answer)));
-        entry.learn(...upstreams.map(({ address }, index) => ({ id: `u${index}`, address })));
-        return new TestStage(entry, upstreams);
+        const upstreams = await Promise.all(handlers.map(handler => RawUpstream.start(handler)));
+        entry.setUpstreams(...upstreams.map(({ address }, index) => ({ id: `u${index}`, address })));
+        return new TestSetup(entry, upstreams);
     }
 
     public async stop(): Promise<void> {
--- a/packages/forwarding/src/waitingrooms.ts
+++ b/packages/forwarding/src/waitingrooms.ts
@@ -1,66 +1,66 @@
-/** Requests that wait at the entry, the most urgent first. */
+/** A queue of requests waiting for an upstream, ordered by priority. */
 import { Deferred, steadyNow } from "@winchpath/core";
 
 interface Waiter<T> {
     readonly priority: number;
     readonly arrivedAt: number;
-    /** Gives what the request waits for, once it is there. */
-    readonly attempt: () => T | undefined;
+    /** Returns the awaited value once it is available. */
+    readonly tryAcquire: () => T | undefined;
     readonly done: Deferred<T | undefined>;
 }
 
-export class WaitingRoom<T> {
+export class WaitQueue<T> {
     private waiters: Waiter<T>[] = [];
-    private pumping = false;
+    private retrying = false;
 
     public get size(): number {
         return this.waiters.length;
     }
 
-    /** Waits until `attempt` gives something; undefined after `ms`, or once `gone` is aborted. */
+    /** Waits until `tryAcquire` returns a value; resolves to undefined after `ms` or when `abortSignal` is aborted. */
     public async wait(
         priority: number,
         ms: number,
-        gone: AbortSignal,
-        attempt: () => T | undefined,
+        abortSignal: AbortSignal,
+        tryAcquire: () => T | undefined,
     ): Promise<T | undefined> {
-        if (gone.aborted) {
+        if (abortSignal.aborted) {
             return undefined;
         }
-        const waiter: Waiter<T> = { priority, arrivedAt: steadyNow(), attempt, done: new Deferred() };
-        const leave = () => this.remove(waiter);
+        const waiter: Waiter<T> = { priority, arrivedAt: steadyNow(), tryAcquire, done: new Deferred() };
+        const remove = () => this.remove(waiter);
         this.insert(waiter);
-        const timer = setTimeout(leave, ms);
-        gone.addEventListener("abort", leave, { once: true });
+        const timer = setTimeout(remove, ms);
+        abortSignal.addEventListener("abort", remove, { once: true });
         try {
             return await waiter.done.promise;
         }
         finally {
             clearTimeout(timer);
-            gone.removeEventListener("abort", leave);
+            abortSignal.removeEventListener("abort", remove);
         }
     }
 
-    /** Something changed: lets every waiter try again, in order. */
-    public pump(): void {
-        if (this.pumping) {
+    /** Lets every waiter try again, in order. */
+    public retryAll(): void {
+        if (this.retrying) {
             return;
         }
-        this.pumping = true;
+        this.retrying = true;
         try {
-            this.waiters = this.waiters.filter(waiter => !this.serve(waiter));
+            this.waiters = this.waiters.filter(waiter => !this.tryServe(waiter));
         }
         finally {
-            this.pumping = false;
+            this.retrying = false;
         }
     }
 
-    private serve(waiter: Waiter<T>): boolean {
-        const found = waiter.attempt();
-        if (found === undefined) {
+    private tryServe(waiter: Waiter<T>): boolean {
+        const acquired = waiter.tryAcquire();
+        if (acquired === undefined) {
             return false;
         }
-        waiter.done.resolve(found);
+        waiter.done.resolve(acquired);
         return true;
     }
 
