--- a/packages/accounts/src/authenticators.ts
+++ b/packages/accounts/src/authenticators.ts
@@ -1,43 +1,43 @@
 /**
- * Who may send, by the keys of the configuration. A key that was taken away must not be used any more
- * within a bound, also at an entry that is out of touch. So what an entry knows of keys holds for a time
- * after a moment up to which a leader with a majority behind it has told everything, and no longer.
+ * Authenticates requests by the API keys in the configuration. A revoked key must be refused within a bound, even at an
+ * entry that is disconnected. Therefore an entry uses its configuration only for a limited time after the moment up to
+ * which a leader with a quorum has confirmed it.
  */
 import { steadyNow } from "@winchpath/core";
 import { type ClientAccount, type Configuration, keyDigest } from "@winchpath/declarations";
-import { KeyRing } from "./keyrings.js";
+import { KeyIndex } from "./keyrings.js";
 
-/** Clocks of two hosts may run apart by this share. */
-const driftShare = 0.01;
-/** Time from the last check of a key to the upstream's first step, in milliseconds. */
-const marginMs = 150;
-/** An unknown key may be new where nothing was heard for this long, in milliseconds: two polls without news. */
-const unsureMs = 2000;
+/** Maximum relative drift between the clocks of two hosts. */
+const maxClockDrift = 0.01;
+/** Time from the last check of a key until the upstream starts on the request, in milliseconds. */
+const dispatchMarginMs = 150;
+/** Without an update for this long (two polls), an unknown key may have been added recently. */
+const newKeyUncertaintyMs = 2000;
 
-/** What an entry knows, and how old it is. */
+/** Configuration known to an entry, and when it was confirmed. */
 export interface KeyKnowledge {
     readonly configuration: Configuration | undefined;
-    /** Steady time up to which every acknowledged configuration is known here. */
+    /** Monotonic time up to which all acknowledged configurations are known. */
     readonly confirmedAt: number;
 }
 
-/** How soon a key that was taken away has to be refused. */
+/** Deadline for refusing a revoked key. */
 export interface RevocationOptions {
-    /** Whether the bound holds at entries that are out of touch as well. */
+    /** Whether the deadline also applies to disconnected entries. */
     readonly strict: boolean;
     /** Milliseconds after the configuration without the key was acknowledged. */
     readonly withinMs: number;
 }
 
-/** The account that a request is served for. */
+/** Client account that a request is served for. */
 export interface Grant {
     readonly account: string;
     readonly digest: string;
-    /** Goes before the route's; undefined where the account has none. */
+    /** Overrides the priority of the route. */
     readonly priority: number | undefined;
 }
 
-/** Why a request is not served: nobody holds its key, or nobody can tell whether somebody still does. */
+/** Why a request is refused: its key is unknown, or the configuration is too old to decide. */
 export type Denial = "unknown-key" | "unconfirmed";
 
 export type Identity =
@@ -45,45 +45,45 @@
     | { readonly kind: "denied"; readonly why: Denial; };
 
 export class Authenticator {
-    private read: { readonly accounts: readonly ClientAccount[] | undefined; readonly keys: KeyRing; } = {
+    private keyIndex: { readonly accounts: readonly ClientAccount[] | undefined; readonly keys: KeyIndex; } = {
         accounts: undefined,
-        keys: new KeyRing([]),
+        keys: new KeyIndex([]),
     };
 
     public constructor(private readonly knowledge: KeyKnowledge, private readonly options: RevocationOptions) {}
 
-    /** Whether what is known of keys may be used now; true where the configuration sets no accounts. */
+    /** Whether the configuration is recent enough to use its keys; always true without accounts. */
     public get isConfirmed(): boolean {
-        const usableMs = this.options.withinMs * (1 - driftShare) - marginMs;
+        const usableMs = this.options.withinMs * (1 - maxClockDrift) - dispatchMarginMs;
         return !this.options.strict || this.accounts === undefined || this.ageMs < usableMs;
     }
 
-    /** Milliseconds since the moment up to which everything is known. */
+    /** Milliseconds since the time up to which the configuration is confirmed. */
     public get ageMs(): number {
         return steadyNow() - this.knowledge.confirmedAt;
     }
 
-    /** Whose request it is; on a public route anybody's. */
+    /** Identifies the account of a request; public routes also accept requests without a known key. */
     public identify(isPublic: boolean, key: string | undefined): Identity {
         if (this.accounts === undefined) {
             return { kind: "granted", grant: undefined };
         }
         const digest = key === undefined ? "" : keyDigest(key);
-        const holder = this.keys.holderOf(digest);
-        if (holder === undefined && isPublic) {
+        const owner = this.keys.accountOf(digest);
+        if (owner === undefined && isPublic) {
             return { kind: "granted", grant: undefined };
         }
         if (!this.isConfirmed) {
             return { kind: "denied", why: "unconfirmed" };
         }
-        if (holder === undefined) {
-            const mayBeNew = key !== undefined && this.ageMs > unsureMs;
+        if (owner === undefined) {
+            const mayBeNew = key !== undefined && this.ageMs > newKeyUncertaintyMs;
             return { kind: "denied", why: mayBeNew ? "unconfirmed" : "unknown-key" };
         }
-        return { kind: "granted", grant: { account: holder.name, digest, priority: holder.priority } };
+        return { kind: "granted", grant: { account: owner.name, digest, priority: owner.priority } };
     }
 
-    /** Why a request that was let in must not be sent now; undefined where it may be. */
+    /** Checks an admitted request again before it is sent; returns why it must be refused. */
     public denial(grant: Grant | undefined): Denial | undefined {
         if (grant === undefined || this.accounts === undefined) {
             return undefined;
@@ -91,17 +91,17 @@
         if (!this.isConfirmed) {
             return "unconfirmed";
         }
-        return this.keys.holderOf(grant.digest)?.name === grant.account ? undefined : "unknown-key";
+        return this.keys.accountOf(grant.digest)?.name === grant.account ? undefined : "unknown-key";
     }
 
     private get accounts(): readonly ClientAccount[] | undefined {
         return this.knowledge.configuration?.accounts;
     }
 
-    private get keys(): KeyRing {
-        if (this.accounts !== this.read.accounts) {
-            this.read = { accounts: this.accounts, keys: new KeyRing(this.accounts ?? []) };
+    private get keys(): KeyIndex {
+        if (this.accounts !== this.keyIndex.accounts) {
+            this.keyIndex = { accounts: this.accounts, keys: new KeyIndex(this.accounts ?? []) };
         }
-        return this.read.keys;
+        return this.keyIndex.keys;
     }
 }
--- a/packages/accounts/src/counts.ts
+++ b/packages/accounts/src/counts.ts
@@ -1,62 +1,62 @@
-/** What entries and the leader tell each other of accounts with a limit, in the limit's unit. */
+/** Messages between entries and the leader about accounts with a limit. Amounts are in the unit of the limit. */
 import { type AccountLimit } from "@winchpath/declarations";
 
-/** Grants are used within this time or not at all, in milliseconds: four reports. */
-export const creditLifeMs = 2000;
+/** Unused grants expire after this time, in milliseconds: four report intervals. */
+export const grantLifetimeMs = 2000;
 
-/** What an account has asked of an entry; totals since the entry's process started. */
+/** Usage of an account at one entry; totals since the entry's process started. */
 export interface AccountCounts {
     readonly account: string;
-    /** Let through, less what was given back. */
+    /** Units admitted, less those refunded. */
     readonly used: number;
-    /** Asked for, refused or not. */
+    /** Units requested, admitted or not. */
     readonly asked: number;
-    /** What is left of grants. */
+    /** Unused units of grants. */
     readonly credit: number;
-    /** The largest request that waits for credit; 0 where none does. */
+    /** Units of the largest request waiting for a grant; 0 if none is. */
     readonly waiting: number;
-    /** Whether the entry holds the account to grants, or to what may pass while no leader is heard. */
+    /** Whether the entry admits requests only within its grants, or its fallback rate when no leader responds. */
     readonly held: boolean;
 }
 
-/** What an entry may let through from now on. */
+/** What an entry may admit from now on. */
 export interface Allowance {
     readonly account: string;
-    /** Whether only what is granted may pass. */
+    /** Whether requests are admitted only within grants. */
     readonly strict: boolean;
-    /** Added to what is left of earlier grants. */
+    /** Units added to the unused ones of earlier grants. */
     readonly grant: number;
-    /** Nothing will be granted within this time, in milliseconds. */
+    /** No further units are granted for this many milliseconds. */
     readonly dryMs: number;
-    /** What may pass in a second while the leader says nothing. */
+    /** Units per second that may be admitted while the leader doesn't respond. */
     readonly fallbackPerSecond: number;
-    /** The entry tells at once after it has let so much through. */
+    /** Number of unreported units after which the entry reports at once. */
     readonly reportAfter: number;
 }
 
-/** What runs beyond limits is borne up to this, over all entries. */
+/** How far all entries together may exceed a limit. */
 export interface LimitTolerance {
     readonly windowMs: number;
-    /** Share of what a limit allows in a window. */
+    /** Share of the units that the limit allows in a window. */
     readonly overage: number;
-    /** Units of any limit, beyond that. */
+    /** Additional units, the same for every limit. */
     readonly slack: number;
 }
 
-/** Units that a request counts; `tokens`: of its prompt and the most that may be generated, where it names them. */
+/** Units that a request consumes; `tokens`: prompt tokens plus the maximum to generate, if the request states them. */
 export function unitsOf(limit: AccountLimit, tokens: number | undefined): number {
     return limit.unit === "requests" ? 1 : tokens ?? limit.plainTokens;
 }
 
-/** Share of the tolerance that all entries together may let through untold. */
-const untoldShare = 0.4;
+/** Share of the tolerance that all entries together may admit without reporting. */
+const unreportedShare = 0.4;
 
-/** What one of so many entries may let through before it tells the leader at once. */
-export function untoldUnits(limit: AccountLimit, tolerance: LimitTolerance, entries: number): number {
-    return Math.floor(toleratedUnits(limit, tolerance) * untoldShare / entries);
+/** Units that one of `entries` entries may admit before it has to report at once. */
+export function maxUnreportedUnits(limit: AccountLimit, tolerance: LimitTolerance, entries: number): number {
+    return Math.floor(toleratedUnits(limit, tolerance) * unreportedShare / entries);
 }
 
-/** Units that may run beyond a limit within a window. */
+/** Units by which a limit may be exceeded within a window. */
 function toleratedUnits({ perSecond, burst }: AccountLimit, tolerance: LimitTolerance): number {
     const allowed = perSecond * tolerance.windowMs / 1000 + burst;
     return allowed * tolerance.overage + tolerance.slack;
--- a/packages/accounts/src/keyrings.ts
+++ b/packages/accounts/src/keyrings.ts
@@ -1,17 +1,17 @@
-/** Whose key a request bears. */
+/** Maps API keys to client accounts. */
 import { type ClientAccount } from "@winchpath/declarations";
 
-export class KeyRing {
-    private readonly holders = new Map<string, ClientAccount>();
+export class KeyIndex {
+    private readonly accountsByDigest = new Map<string, ClientAccount>();
 
     public constructor(accounts: readonly ClientAccount[]) {
         for (const account of accounts) {
-            account.keyDigests.forEach(digest => this.holders.set(digest, account));
+            account.keyDigests.forEach(digest => this.accountsByDigest.set(digest, account));
         }
     }
 
-    /** The account whose key has this digest. */
-    public holderOf(digest: string): ClientAccount | undefined {
-        return this.holders.get(digest);
+    /** The account that has a key with this digest. */
+    public accountOf(digest: string): ClientAccount | undefined {
+        return this.accountsByDigest.get(digest);
     }
 }
--- a/packages/accounts/src/limitbooks.ts
+++ b/packages/accounts/src/limitbooks.ts
@@ -1,107 +1,123 @@
 /**
- * The leader's side of limits that hold over all entries. Far from its limit an account is let through
- * everywhere and only counted. Once its bucket is half empty, entries let through what the leader has
- * granted them, and grants never exceed what the bucket holds. Entries that share one limit by their
- * demand: B. Raghavan et al., "Cloud control with distributed rate limiting", SIGCOMM 2007.
+ * The leader's side of account limits that apply across all entries. While an account is far from its limit, entries
+ * admit its requests and only count them. Once its bucket is half empty, entries admit only what the leader has
+ * granted, and grants never exceed the content of the bucket. A limit is divided among entries by demand, as in B.
+ * Raghavan et al., "Cloud control with distributed rate limiting", SIGCOMM 2007.
  */
 import { type EventLog, steadyNow, TokenBucket } from "@winchpath/core";
 import { type AccountLimit, type ClientAccount } from "@winchpath/declarations";
-import { type AccountCounts, type Allowance, creditLifeMs, type LimitTolerance, untoldUnits } from "./counts.js";
+import {
+    type AccountCounts,
+    type Allowance,
+    grantLifetimeMs,
+    type LimitTolerance,
+    maxUnreportedUnits,
+} from "./counts.js";
 
-/** When an account is held to grants, in shares of what its bucket can hold. */
+/** Fill levels, as shares of the bucket size, at which enforcement by grants starts and stops. */
 export interface HoldingShares {
     readonly heldBelow: number;
     readonly freeAbove: number;
 }
 
-const usualShares: HoldingShares = { heldBelow: 0.5, freeAbove: 0.8 };
-/** Share of a full bucket that a new leader begins with: what ran before it is not known. */
-const firstShare = 0.5;
-/** A request that is larger than the bucket passes once that holds this share. */
-const fullShare = 0.8;
-/** A bucket holds at least this many seconds of its rate, so that a limit without a burst can be used at all. */
-const leastBurstSeconds = 0.25;
-/** Within this time a leader hears from all entries which accounts they hold since before it began, in milliseconds. */
-const learnMs = 1500;
-/** An entry that was silent for this long uses nothing of its grants any more, in milliseconds. */
-const silentMs = creditLifeMs;
-/** What an entry asks for in a second is an average that halves in this time, in milliseconds. */
-const halfLifeMs = 1000;
-/** Grants last an entry until its next report, half a second later at most. */
-const horizonSeconds = 0.5;
-/** What passes while no leader is heard goes by what was asked for, to this share; the rest is even, for newcomers. */
-const askedShare = 0.9;
-/** Grants of one report, in shares that the entry has in the demand: another may come first. */
-const grantShares = 2;
-/** Bounds of the time for which an entry is told to grant nothing, in milliseconds. */
-const shortestDryMs = 50;
-const longestDryMs = 2000;
-
-/** What one entry tells. */
+const defaultThresholds: HoldingShares = { heldBelow: 0.5, freeAbove: 0.8 };
+/** Initial fill level of buckets at a new leader, which doesn't know the usage before it took over. */
+const initialFillShare = 0.5;
+/** A request larger than the bucket is admitted once the bucket is filled to this share. */
+const oversizedRequestShare = 0.8;
+/** Minimum size of a bucket in seconds of its rate, so that a limit without a burst can be used at all. */
+const minBurstSeconds = 0.25;
+/** Time within which a new leader learns from all entries which accounts the previous leader enforced. */
+const learningPeriodMs = 1500;
+/** Grants of an entry that hasn't reported for this long have expired. */
+const entryTimeoutMs = grantLifetimeMs;
+/** Half-life of the moving average of an entry's demand. */
+const demandHalfLifeMs = 1000;
+/** Grants cover the demand until the next report, at most half a second later. */
+const grantHorizonSeconds = 0.5;
+/**
+ * Share of the fallback rate divided by demand; the rest is divided evenly, so that entries without demand so far get
+ * some.
+ */
+const demandWeight = 0.9;
+/**
+ * Grants are capped at this multiple of the entry's share of the demand, so that the first to report doesn't get
+ * everything.
+ */
+const maxGrantShares = 2;
+/** Bounds of the time for which an entry is told that there will be no grants. */
+const minRetryDelayMs = 50;
+const maxRetryDelayMs = 2000;
+
+/** Report of one entry. */
 export interface EntryCounts {
     readonly entry: string;
-    /** Of the process: another one counts anew. */
+    /** Identifies the process of the entry: totals restart with a new one. */
     readonly process: number;
     readonly counts: readonly AccountCounts[];
-    /** Entries that are alive, this one among them. */
+    /** Number of live entries, including this one. */
     readonly entries: number;
 }
 
-interface EntryUse {
+interface EntryDemand {
     process: number;
     used: number;
     asked: number;
-    /** Units asked for in a second, as of `at`. */
-    rate: number;
-    at: number;
+    /** Requested units per second, as of `updatedAt`. */
+    demandRate: number;
+    updatedAt: number;
     credit: number;
 }
 
-/** One account's limit. */
-class AccountBook {
+/** Limit of one account. */
+class AccountLimitState {
     public strict = false;
     private readonly bucket: TokenBucket;
-    private readonly uses = new Map<string, EntryUse>();
+    private readonly demands = new Map<string, EntryDemand>();
 
-    public constructor(public limit: AccountLimit, private readonly shares: HoldingShares) {
-        this.bucket = new TokenBucket(limit.perSecond, sizeOf(limit), sizeOf(limit) * firstShare);
+    public constructor(public limit: AccountLimit, private readonly thresholds: HoldingShares) {
+        this.bucket = new TokenBucket(limit.perSecond, bucketSize(limit), bucketSize(limit) * initialFillShare);
     }
 
-    public follow(limit: AccountLimit): void {
+    public setLimit(limit: AccountLimit): void {
         this.limit = limit;
-        this.bucket.resize(limit.perSecond, sizeOf(limit));
+        this.bucket.resize(limit.perSecond, bucketSize(limit));
     }
 
-    /** Takes totals in. What an entry counted before this leader heard of it may have been told to another. */
-    public count(entry: string, process: number, counts: AccountCounts): EntryUse {
+    /**
+     * Adds the increase of an entry's totals. Totals of an entry first seen here are the baseline: the previous leader
+     * may have counted them.
+     */
+    public recordCounts(entry: string, process: number, counts: AccountCounts): EntryDemand {
         const now = steadyNow();
-        let use = this.uses.get(entry);
-        if (use === undefined || use.process !== process) {
-            const base = use === undefined ? counts : { used: 0, asked: 0 };
-            use = { process, used: base.used, asked: base.asked, rate: 0, at: now, credit: 0 };
-            this.uses.set(entry, use);
+        let demand = this.demands.get(entry);
+        if (demand === undefined || demand.process !== process) {
+            const base = demand === undefined ? counts : { used: 0, asked: 0 };
+            demand = { process, used: base.used, asked: base.asked, demandRate: 0, updatedAt: now, credit: 0 };
+            this.demands.set(entry, demand);
         }
-        this.bucket.take(counts.used - use.used);
-        use.rate = fadedRate(use, now) + Math.max(0, counts.asked - use.asked) * Math.LN2 / (halfLifeMs / 1000);
-        use.used = counts.used;
-        use.asked = counts.asked;
-        use.credit = counts.credit;
-        use.at = now;
-        return use;
+        this.bucket.take(counts.used - demand.used);
+        demand.demandRate = decayedRate(demand, now)
+            + Math.max(0, counts.asked - demand.asked) * Math.LN2 / (demandHalfLifeMs / 1000);
+        demand.used = counts.used;
+        demand.asked = counts.asked;
+        demand.credit = counts.credit;
+        demand.updatedAt = now;
+        return demand;
     }
 
-    /** An entry held the account before this leader began: there is nothing left over from that time. */
-    public inherit(): void {
+    /** Starts enforcement with an empty bucket if an entry already enforced the limit under the previous leader. */
+    public enforceFromEmpty(): void {
         if (!this.strict) {
             this.strict = true;
             this.bucket.take(Math.max(0, this.bucket.level));
         }
     }
 
-    /** Whether entries are held to grants, by what the bucket holds. */
-    public review(): boolean {
-        const share = this.bucket.level / sizeOf(this.limit);
-        const strict = share < (this.strict ? this.shares.freeAbove : this.shares.heldBelow);
+    /** Updates by the fill level whether entries may only use grants; returns whether that changed. */
+    public updateEnforcement(): boolean {
+        const share = this.bucket.level / bucketSize(this.limit);
+        const strict = share < (this.strict ? this.thresholds.freeAbove : this.thresholds.heldBelow);
         const changed = strict !== this.strict;
         this.strict = strict;
         return changed;
@@ -111,100 +127,104 @@
         return this.bucket.level;
     }
 
-    /** Share of an entry in what is asked for. */
-    public shareOf(use: EntryUse, entries: number): number {
+    /** The entry's share of the total demand. */
+    public demandShare(demand: EntryDemand, entries: number): number {
         const now = steadyNow();
         let total = 0;
-        for (const other of this.uses.values()) {
-            total += fadedRate(other, now);
+        for (const other of this.demands.values()) {
+            total += decayedRate(other, now);
         }
-        return total > 0 ? fadedRate(use, now) / total : 1 / entries;
+        return total > 0 ? decayedRate(demand, now) / total : 1 / entries;
     }
 
-    public grant(use: EntryUse, waiting: number, entries: number): { readonly grant: number; readonly dryMs: number; } {
-        const free = this.ungranted();
-        const need = Math.max(waiting, use.rate * horizonSeconds) - use.credit;
-        const whole = Math.min(waiting, sizeOf(this.limit));
-        const passes = waiting > 0 && free >= whole * fullShare;
-        const fair = free * Math.min(1, this.shareOf(use, entries) * grantShares);
-        const grant = Math.max(0, Math.floor(Math.min(need, Math.max(fair, passes ? waiting : 0))));
-        use.credit += grant;
-        const lacking = Math.max(waiting, 1) - Math.max(free - grant, -sizeOf(this.limit));
-        const dryMs = grant > 0 || lacking <= 0 ? 0 : lacking / this.limit.perSecond * 1000;
-        return { grant, dryMs: dryMs === 0 ? 0 : Math.min(longestDryMs, Math.max(shortestDryMs, dryMs)) };
+    public grant(
+        demand: EntryDemand,
+        waiting: number,
+        entries: number,
+    ): { readonly grant: number; readonly dryMs: number; } {
+        const available = this.ungrantedLevel();
+        const need = Math.max(waiting, demand.demandRate * grantHorizonSeconds) - demand.credit;
+        const required = Math.min(waiting, bucketSize(this.limit));
+        const isAffordable = waiting > 0 && available >= required * oversizedRequestShare;
+        const fairShare = available * Math.min(1, this.demandShare(demand, entries) * maxGrantShares);
+        const grant = Math.max(0, Math.floor(Math.min(need, Math.max(fairShare, isAffordable ? waiting : 0))));
+        demand.credit += grant;
+        const missing = Math.max(waiting, 1) - Math.max(available - grant, -bucketSize(this.limit));
+        const dryMs = grant > 0 || missing <= 0 ? 0 : missing / this.limit.perSecond * 1000;
+        return { grant, dryMs: dryMs === 0 ? 0 : Math.min(maxRetryDelayMs, Math.max(minRetryDelayMs, dryMs)) };
     }
 
-    /** What the bucket holds beyond what entries may use already. */
-    private ungranted(): number {
+    /** Units in the bucket that aren't covered by outstanding grants. */
+    private ungrantedLevel(): number {
         const now = steadyNow();
         let granted = 0;
-        for (const use of this.uses.values()) {
-            granted += now - use.at > silentMs ? 0 : use.credit;
+        for (const demand of this.demands.values()) {
+            granted += now - demand.updatedAt > entryTimeoutMs ? 0 : demand.credit;
         }
         return this.bucket.level - granted;
     }
 }
 
 export class LimitBook {
-    private readonly books = new Map<string, AccountBook>();
-    private readonly since = steadyNow();
+    private readonly states = new Map<string, AccountLimitState>();
+    private readonly startedAt = steadyNow();
 
     public constructor(
         private readonly tolerance: LimitTolerance,
         private readonly log: EventLog,
-        private readonly shares = usualShares,
+        private readonly thresholds = defaultThresholds,
     ) {}
 
-    /** Follows the accounts of the configuration in force. */
+    /** Applies the accounts of the current configuration. */
     public follow(accounts: readonly ClientAccount[]): void {
         const limited = new Map(accounts.map(({ name, limit }) => [name, limit]));
-        for (const name of this.books.keys()) {
+        for (const name of this.states.keys()) {
             if (limited.get(name) === undefined) {
-                this.books.delete(name);
+                this.states.delete(name);
             }
         }
         for (const [name, limit] of limited) {
             if (limit !== undefined) {
-                this.followLimit(name, limit);
+                this.setLimit(name, limit);
             }
         }
     }
 
-    /** Takes in what an entry has counted, and says what it may let through. */
+    /** Processes the counts of an entry and returns its allowances. */
     public take({ entry, process, counts, entries }: EntryCounts): Allowance[] {
-        const learning = steadyNow() - this.since < learnMs;
+        const isLearning = steadyNow() - this.startedAt < learningPeriodMs;
         const allowances: Allowance[] = [];
         for (const count of counts) {
-            const book = this.books.get(count.account);
-            if (book === undefined) {
+            const state = this.states.get(count.account);
+            if (state === undefined) {
                 continue;
             }
-            const use = book.count(entry, process, count);
-            if (learning && count.held) {
-                book.inherit();
+            const demand = state.recordCounts(entry, process, count);
+            if (isLearning && count.held) {
+                state.enforceFromEmpty();
             }
-            this.review(count.account, book);
-            allowances.push(this.allowance(count, book, use, entries));
+            this.updateEnforcement(count.account, state);
+            allowances.push(this.createAllowance(count, state, demand, entries));
         }
         return allowances;
     }
 
-    private followLimit(name: string, limit: AccountLimit): void {
-        const book = this.books.get(name);
-        if (book === undefined) {
-            this.books.set(name, new AccountBook(limit, this.shares));
+    private setLimit(name: string, limit: AccountLimit): void {
+        const state = this.states.get(name);
+        if (state === undefined) {
+            this.states.set(name, new AccountLimitState(limit, this.thresholds));
         }
         else {
-            book.follow(limit);
+            state.setLimit(limit);
         }
     }
 
-    private review(account: string, book: AccountBook): void {
-        if (book.review()) {
-            const { perSecond, burst, unit } = book.limit;
-            this.log.info(book.strict ? "account.held" : "account.free", {
+    private updateEnforcement(account: string, state: AccountLimitState): void {
+        if (state.updateEnforcement()) {
+            const { perSecond, burst, unit } = state.limit;
+            this.log.info(state.strict ? "account.held" : "account.free", {
                 account,
-                level: Math.round(book.level),
+                level: Math.round(state.level),
                 perSecond,
                 burst,
                 unit,
@@ -212,26 +232,31 @@
         }
     }
 
-    private allowance(count: AccountCounts, book: AccountBook, use: EntryUse, entries: number): Allowance {
-        const { grant, dryMs } = book.strict
-            ? book.grant(use, count.waiting, entries)
+    private createAllowance(
+        count: AccountCounts,
+        state: AccountLimitState,
+        demand: EntryDemand,
+        entries: number,
+    ): Allowance {
+        const { grant, dryMs } = state.strict
+            ? state.grant(demand, count.waiting, entries)
             : { grant: 0, dryMs: 0 };
         return {
             account: count.account,
-            strict: book.strict,
+            strict: state.strict,
             grant,
             dryMs,
-            fallbackPerSecond: book.limit.perSecond
-                * (askedShare * book.shareOf(use, entries) + (1 - askedShare) / entries),
-            reportAfter: untoldUnits(book.limit, this.tolerance, entries),
+            fallbackPerSecond: state.limit.perSecond
+                * (demandWeight * state.demandShare(demand, entries) + (1 - demandWeight) / entries),
+            reportAfter: maxUnreportedUnits(state.limit, this.tolerance, entries),
         };
     }
 }
 
-function sizeOf({ perSecond, burst }: AccountLimit): number {
-    return Math.max(burst, perSecond * leastBurstSeconds);
+function bucketSize({ perSecond, burst }: AccountLimit): number {
+    return Math.max(burst, perSecond * minBurstSeconds);
 }
 
-function fadedRate({ rate, at }: EntryUse, now: number): number {
-    return rate * 2 ** (-(now - at) / halfLifeMs);
+function decayedRate({ demandRate, updatedAt }: EntryDemand, now: number): number {
+    return demandRate * 2 ** (-(now - updatedAt) / demandHalfLifeMs);
 }
--- a/packages/accounts/src/limiters.ts
+++ b/packages/accounts/src/limiters.ts
@@ -1,57 +1,57 @@
 /**
- * An entry's side of limits that hold over all entries. A request of an account far from its limit passes
- * at once and is counted. Near the limit it passes on what the leader has granted, and waits for a grant
- * for a moment where the leader's last word was that there is some.
+ * An entry's side of account limits that apply across all entries. While an account is far from its limit, its requests
+ * are admitted at once and counted. Near the limit they are admitted within the leader's grants, and wait briefly for a
+ * grant unless the leader has said that there will be none.
  */
 import { Deferred, steadyNow } from "@winchpath/core";
 import { type AccountLimit, type ClientAccount } from "@winchpath/declarations";
 import {
     type AccountCounts,
     type Allowance,
-    creditLifeMs,
+    grantLifetimeMs,
     type LimitTolerance,
+    maxUnreportedUnits,
     unitsOf,
-    untoldUnits,
 } from "./counts.js";
 
-/** A request waits this long for a grant, in milliseconds: a report and its answer, and the pause between two. */
-const grantWaitMs = 150;
+/** How long a request waits for a grant: a report, its answer and the minimum interval between two reports. */
+const grantTimeoutMs = 150;
 /**
- * Without a word for this long after the leader was asked, an entry goes by the last one, in milliseconds; longer
- * for each entry there is, since many of them report less often. Meanwhile all that comes may pass: with 600, an
- * account that began to send 3.5 times its limit as the leader was lost overran what is borne by a quarter.
+ * Time after which a leader that doesn't answer counts as unresponsive, plus a term per entry, since entries report
+ * less often when there are many. Requests may be admitted without a bound until then, so higher values exceed the
+ * tolerance when a leader is lost.
  */
-const silenceMs = 250;
-const silencePerEntryMs = 3;
-/** What may pass without the leader's word is saved up for this many seconds at most. */
+const leaderTimeoutMs = 250;
+const leaderTimeoutPerEntryMs = 3;
+/** Burst size of the fallback rate, in seconds. */
 const fallbackSeconds = 1;
-/** When to come back where the leader has not said when there will be something, in milliseconds. */
-const overRetryMs = 300;
+/** Minimum retry delay told to callers that are over their limit. */
+const minRetryAfterMs = 300;
 
-/** What a request took of its account's limit. */
+/** Units that a request has consumed. */
 export interface Charge {
-    /** The request has not run: what it took may be used by another. */
+    /** Refunds the units of a request that didn't run. */
     giveBack(): void;
 }
 
-/** What an account's limit says to a request. */
+/** Whether a request is within the limit of its account. */
 export type Admission =
     | { readonly kind: "admitted"; readonly charge: Charge; }
     | {
         readonly kind: "over";
         readonly retryAfterMs: number;
-        /** For the log: what the request would have taken, what is left here, and the limit. */
+        /** For the log: units of the request, units left at this entry, and the limit. */
         readonly units: number;
         readonly credit: number;
         readonly limit: AccountLimit;
     };
 
-interface Waiter {
+interface PendingRequest {
     readonly units: number;
     readonly done: Deferred<boolean>;
 }
 
-/** Of a request without a limit: nothing is counted, so nothing is given back. */
+/** Charge of a request without a limit. */
 export const uncounted: Charge = { giveBack: () => undefined };
 
 class AccountState {
@@ -59,28 +59,28 @@
     public asked = 0;
     public strict = false;
     public reportAfter: number;
-    public waiters: Waiter[] = [];
+    public pending: PendingRequest[] = [];
     private reportedUsed = 0;
     private reportedAsked = 0;
     private credit = 0;
-    private dryUntil = Number.NEGATIVE_INFINITY;
+    private noGrantsUntil = Number.NEGATIVE_INFINITY;
     private fallbackPerSecond: number;
-    /** Steady time up to which what may pass without the leader's word was added; undefined while it is heard. */
+    /** Monotonic time up to which fallback units were added; undefined while the leader responds. */
     private refilledAt: number | undefined;
-    private allowedAt = Number.NEGATIVE_INFINITY;
-    /** Whether the account is held since no leader is heard. */
-    private alone = false;
-    /** Since when the leader is asked what may pass, and has not said. */
+    private allowanceAt = Number.NEGATIVE_INFINITY;
+    /** Whether the limit is enforced because the leader doesn't respond. */
+    private enforcesFallback = false;
+    /** Monotonic time since which the leader owes an answer. */
     private unansweredSince: number | undefined;
 
     public constructor(public limit: AccountLimit, tolerance: LimitTolerance, private readonly entries: number) {
         this.fallbackPerSecond = limit.perSecond / entries;
-        this.reportAfter = untoldUnits(limit, tolerance, entries);
+        this.reportAfter = maxUnreportedUnits(limit, tolerance, entries);
     }
 
-    public follow(limit: AccountLimit): void {
+    public setLimit(limit: AccountLimit): void {
         if (limit.perSecond < this.limit.perSecond || limit.burst < this.limit.burst) {
-            // The leader has to say anew how much passes.
+            // The old grants are too high: wait for new ones from the leader.
             this.strict = true;
             this.credit = 0;
             this.reportAfter *= limit.perSecond / this.limit.perSecond;
@@ -92,116 +92,124 @@
         this.limit = limit;
     }
 
-    public ask(units: number): void {
+    public recordDemand(units: number): void {
         this.asked += units;
-        if (this.strict || this.alone) {
+        if (this.strict || this.enforcesFallback) {
             this.unansweredSince ??= steadyNow();
         }
     }
 
-    /** Whether the account is held to grants now: as the leader says, or as it can't say. */
-    public get isHeld(): boolean {
-        // Until the leader says again what may pass.
-        this.alone ||= this.silentSince !== undefined && this.untold > this.reportAfter;
-        return this.strict || this.alone;
+    /** Whether requests are admitted only within grants, or within the fallback rate. */
+    public get isEnforced(): boolean {
+        // Stays set until the leader answers.
+        this.enforcesFallback ||= this.unresponsiveSince !== undefined && this.unreported > this.reportAfter;
+        return this.strict || this.enforcesFallback;
     }
 
-    public get untold(): number {
+    public get unreported(): number {
         return this.used - this.reportedUsed;
     }
 
-    public get isDry(): boolean {
-        return steadyNow() < this.dryUntil;
+    public get isExhausted(): boolean {
+        return steadyNow() < this.noGrantsUntil;
     }
 
     public get retryAfterMs(): number {
-        return Math.max(overRetryMs, this.dryUntil - steadyNow());
+        return Math.max(minRetryAfterMs, this.noGrantsUntil - steadyNow());
     }
 
-    /** What may pass now. */
+    /** Units that may be admitted now. */
     public get available(): number {
         const now = steadyNow();
-        const { silentSince } = this;
-        if (silentSince !== undefined) {
-            // Where nothing could pass since the last word, that time counts; where all could, it may have been too much.
-            const from = this.refilledAt ?? (this.strict ? this.allowedAt : silentSince);
+        const { unresponsiveSince } = this;
+        if (unresponsiveSince !== undefined) {
+            // Under enforcement nothing was admitted beyond grants since the last answer, so that time adds units.
+            // Without it, an unknown amount was admitted, so only the time since the leader became unresponsive does.
+            const from = this.refilledAt ?? (this.strict ? this.allowanceAt : unresponsiveSince);
             const seconds = Math.min(fallbackSeconds, (now - from) / 1000);
-            const most = Math.max(this.credit, this.fallbackPerSecond * fallbackSeconds);
-            this.credit = Math.min(most, this.credit + this.fallbackPerSecond * seconds);
+            const maxCredit = Math.max(this.credit, this.fallbackPerSecond * fallbackSeconds);
+            this.credit = Math.min(maxCredit, this.credit + this.fallbackPerSecond * seconds);
             this.refilledAt = now;
         }
-        else if (now - this.allowedAt > creditLifeMs) {
+        else if (now - this.allowanceAt > grantLifetimeMs) {
             this.credit = 0;
         }
         return this.credit;
     }
 
-    public take(units: number, held: boolean): void {
+    public charge(units: number, isEnforced: boolean): void {
         this.used += units;
-        if (held) {
+        if (isEnforced) {
             this.credit -= units;
         }
-        if (this.untold > this.reportAfter) {
+        if (this.unreported > this.reportAfter) {
             this.unansweredSince ??= steadyNow();
         }
     }
 
-    public giveBack(units: number, held: boolean): void {
+    public refund(units: number, isEnforced: boolean): void {
         this.used -= units;
-        if (held) {
+        if (isEnforced) {
             this.credit += units;
         }
     }
 
-    /** What the leader is told; undefined where it knows. */
+    /** Counts to report; undefined if the leader knows them already. */
     public counts(account: string): AccountCounts | undefined {
         const { used, asked } = this;
         if (used === this.reportedUsed && asked === this.reportedAsked) {
             return undefined;
         }
-        const waiting = this.waiters.reduce((most, { units }) => Math.max(most, units), 0);
-        return { account, used, asked, credit: Math.max(0, Math.floor(this.available)), waiting, held: this.isHeld };
+        const waiting = this.pending.reduce((most, { units }) => Math.max(most, units), 0);
+        return {
+            account,
+            used,
+            asked,
+            credit: Math.max(0, Math.floor(this.available)),
+            waiting,
+            held: this.isEnforced,
+        };
     }
 
-    public told(counts: AccountCounts): void {
+    public markReported(counts: AccountCounts): void {
         this.reportedUsed = counts.used;
         this.reportedAsked = counts.asked;
     }
 
-    public allow(allowance: Allowance): void {
+    public applyAllowance(allowance: Allowance): void {
         this.credit = Math.max(0, this.available) + allowance.grant;
         this.strict = allowance.strict;
-        this.alone = false;
+        this.enforcesFallback = false;
         this.refilledAt = undefined;
-        this.dryUntil = steadyNow() + allowance.dryMs;
+        this.noGrantsUntil = steadyNow() + allowance.dryMs;
         this.fallbackPerSecond = allowance.fallbackPerSecond;
         this.reportAfter = allowance.reportAfter;
-        this.allowedAt = steadyNow();
+        this.allowanceAt = steadyNow();
         this.unansweredSince = undefined;
     }
 
-    /** Steady time since which the leader should have answered; undefined where it is heard. */
-    private get silentSince(): number | undefined {
+    /** Monotonic time by which the leader should have answered; undefined while it responds. */
+    private get unresponsiveSince(): number | undefined {
         const due = this.unansweredSince === undefined
             ? Number.POSITIVE_INFINITY
-            : this.unansweredSince + silenceMs + this.entries * silencePerEntryMs;
+            : this.unansweredSince + leaderTimeoutMs + this.entries * leaderTimeoutPerEntryMs;
         return steadyNow() > due ? due : undefined;
     }
 }
 
 export class AccountLimiter {
     private readonly states = new Map<string, AccountState>();
-    private followed: readonly ClientAccount[] | undefined;
+    private accounts: readonly ClientAccount[] | undefined;
 
-    /** `press` is called where the leader should be told at once. */
-    public constructor(private readonly tolerance: LimitTolerance, private readonly press: () => void) {}
+    /** `requestReport` is called when the leader should be told at once. */
+    public constructor(private readonly tolerance: LimitTolerance, private readonly requestReport: () => void) {}
 
-    /** Follows the accounts of the configuration in force; `entries`: how many share the limits. */
+    /** Applies the accounts of the current configuration; `entries`: number of entries that share the limits. */
     public follow(accounts: readonly ClientAccount[] | undefined, entries: number): void {
-        if (accounts === this.followed) {
+        if (accounts === this.accounts) {
             return;
         }
-        this.followed = accounts;
+        this.accounts = accounts;
         const limits = new Map((accounts ?? []).map(({ name, limit }) => [name, limit]));
         for (const name of this.states.keys()) {
             if (limits.get(name) === undefined) {
@@ -214,83 +222,84 @@
                 this.states.set(name, new AccountState(limit, this.tolerance, entries));
             }
             else if (limit !== undefined) {
-                state!.follow(limit);
+                state!.setLimit(limit);
             }
         }
     }
 
-    /** Takes what a request needs of its account's limit; `tokens` as in {@link unitsOf}. */
+    /** Charges a request to the limit of its account; `tokens` as in {@link unitsOf}. */
     public async admit(account: string, tokens: number | undefined): Promise<Admission> {
         const state = this.states.get(account);
         if (state === undefined) {
             return { kind: "admitted", charge: uncounted };
         }
         const units = unitsOf(state.limit, tokens);
-        state.ask(units);
-        const held = state.isHeld;
-        const passes = !held || state.available >= units || (!state.isDry && await this.waitForGrant(state, units));
-        if (!passes) {
+        state.recordDemand(units);
+        const isEnforced = state.isEnforced;
+        const isAdmitted = !isEnforced || state.available >= units
+            || (!state.isExhausted && await this.waitForGrant(state, units));
+        if (!isAdmitted) {
             const { retryAfterMs, available, limit } = state;
-            this.press();
+            this.requestReport();
             return { kind: "over", retryAfterMs, units, credit: Math.round(available), limit };
         }
-        state.take(units, held);
-        if (!held && state.untold > state.reportAfter) {
-            this.press();
+        state.charge(units, isEnforced);
+        if (!isEnforced && state.unreported > state.reportAfter) {
+            this.requestReport();
         }
-        return { kind: "admitted", charge: chargeOf(state, units, held) };
+        return { kind: "admitted", charge: createCharge(state, units, isEnforced) };
     }
 
-    /** What the leader does not know yet. */
+    /** Counts that the leader doesn't know yet. */
     public counts(): AccountCounts[] {
         return [...this.states].map(([account, state]) => state.counts(account)).filter(one => one !== undefined);
     }
 
-    /** The leader has taken `counts` in and says what may pass. */
+    /** Applies the leader's answer to a report of `counts`. */
     public take(counts: readonly AccountCounts[], allowances: readonly Allowance[]): void {
-        counts.forEach(one => this.states.get(one.account)?.told(one));
+        counts.forEach(one => this.states.get(one.account)?.markReported(one));
         for (const allowance of allowances) {
             const state = this.states.get(allowance.account);
-            state?.allow(allowance);
+            state?.applyAllowance(allowance);
             if (state !== undefined) {
-                this.serveWaiters(state);
+                this.resolvePending(state);
             }
         }
     }
 
     private async waitForGrant(state: AccountState, units: number): Promise<boolean> {
-        const waiter: Waiter = { units, done: new Deferred() };
-        state.waiters.push(waiter);
-        this.press();
-        const timer = setTimeout(() => waiter.done.resolve(false), grantWaitMs);
-        const granted = await waiter.done.promise;
+        const pending: PendingRequest = { units, done: new Deferred() };
+        state.pending.push(pending);
+        this.requestReport();
+        const timer = setTimeout(() => pending.done.resolve(false), grantTimeoutMs);
+        const granted = await pending.done.promise;
         clearTimeout(timer);
-        state.waiters = state.waiters.filter(other => other !== waiter);
+        state.pending = state.pending.filter(other => other !== pending);
         return granted;
     }
 
-    /** Those that came first pass first; where nothing comes, all are told. */
-    private serveWaiters(state: AccountState): void {
-        let left = state.available;
-        for (const waiter of state.waiters) {
-            if (!state.strict || left >= waiter.units) {
-                left -= waiter.units;
-                waiter.done.resolve(true);
+    /** Resolves waiting requests in order of arrival; if the leader has no grants, the rest are refused. */
+    private resolvePending(state: AccountState): void {
+        let remaining = state.available;
+        for (const pending of state.pending) {
+            if (!state.strict || remaining >= pending.units) {
+                remaining -= pending.units;
+                pending.done.resolve(true);
             }
-            else if (state.isDry) {
-                waiter.done.resolve(false);
+            else if (state.isExhausted) {
+                pending.done.resolve(false);
             }
         }
     }
 }
 
-function chargeOf(state: AccountState, units: number, held: boolean): Charge {
-    let kept = true;
+function createCharge(state: AccountState, units: number, isEnforced: boolean): Charge {
+    let refundable = true;
     return {
         giveBack: () => {
-            if (kept) {
-                kept = false;
-                state.giveBack(units, held);
+            if (refundable) {
+                refundable = false;
+                state.refund(units, isEnforced);
             }
         },
     };
--- a/packages/accounts/src/tests/authenticators.test.ts
+++ b/packages/accounts/src/tests/authenticators.test.ts
@@ -20,7 +20,7 @@
     const setUp = (knowledge: KeyKnowledge, strict = true) =>
         new Authenticator(knowledge, { strict, withinMs: revokeMs });
 
-    it("knows an account by its key, and gives its name and priority", t => {
+    it("finds an account by its key, and returns its name and priority", t => {
         t.mock.timers.enable({ apis: ["Date"], now });
         const auth = setUp({ configuration: configuration(1, ["k1"]), confirmedAt: now });
         const identity = auth.identify(false, "k1");
@@ -30,7 +30,7 @@
         ]);
     });
 
-    it("refuses a key that nobody holds, and a request without one, but on public routes", t => {
+    it("refuses unknown and missing keys, except on public routes", t => {
         t.mock.timers.enable({ apis: ["Date"], now });
         const auth = setUp({ configuration: configuration(1, ["k1"]), confirmedAt: now });
         expect(auth.identify(false, "k2")).toEqual({ kind: "denied", why: "unknown-key" });
@@ -39,7 +39,7 @@
         expect(auth.identify(true, "k2")).toEqual({ kind: "granted", grant: undefined });
     });
 
-    it("asks for no key where the configuration sets no accounts, however old it is", t => {
+    it("requires no key if the configuration has no accounts, no matter how old it is", t => {
         t.mock.timers.enable({ apis: ["Date"], now });
         const without = { ...configuration(1, []), accounts: undefined };
         const auth = setUp({ configuration: without, confirmedAt: Number.NEGATIVE_INFINITY });
@@ -47,7 +47,7 @@
         expect(auth.isConfirmed).toEqual(true);
     });
 
-    it("uses no key once what it knows is too old, however the time of day jumps", t => {
+    it("accepts no key once the configuration is too old", t => {
         t.mock.timers.enable({ apis: ["Date"], now });
         const auth = setUp({ configuration: configuration(1, ["k1"]), confirmedAt: now });
         const identity = auth.identify(false, "k1");
@@ -58,14 +58,14 @@
         expect(identity.kind === "granted" && auth.denial(identity.grant)).toEqual("unconfirmed");
     });
 
-    it("doesn't call a key unknown that may be new", t => {
+    it("doesn't report a key as unknown that may have been added recently", t => {
         t.mock.timers.enable({ apis: ["Date"], now });
         const auth = setUp({ configuration: configuration(1, ["k1"]), confirmedAt: now });
         t.mock.timers.tick(2500);
         expect(auth.identify(false, "k9")).toEqual({ kind: "denied", why: "unconfirmed" });
     });
 
-    it("refuses a request whose key was taken away while it waited", t => {
+    it("refuses a request whose key was revoked while it waited", t => {
         t.mock.timers.enable({ apis: ["Date"], now });
         const knowledge = { configuration: configuration(1, ["k1"]), confirmedAt: now };
         const auth = setUp(knowledge);
@@ -76,20 +76,20 @@
 });
 
 /**
- * The protocol as a model: a leader that acknowledges configurations, polls that are answered late or never,
- * an entry that sleeps. Time is data, in milliseconds.
+ * Models the protocol: a leader that acknowledges configurations, polls that are answered late or never, and an entry
+ * that pauses. Times are in milliseconds.
  */
-describe("a key that was taken away", () => {
+describe("a revoked key", () => {
     const step = record({
-        /** Since the step before. */
+        /** Time since the previous step. */
         afterMs: nat({ max: 1500 }),
         kind: nat({ max: 4 }),
-        /** Of an answer on its way, or of the leader's majority before it. */
+        /** Delay of an answer in transit, and age of the leader's last quorum before that. */
         delayMs: nat({ max: 3000 }),
         waitMs: nat({ max: 1000 }),
     });
 
-    it("runs nothing later than the bound after the acknowledgement, in no schedule", t => {
+    it("is refused within the bound after the acknowledgement under random schedules", t => {
         t.mock.timers.enable({ apis: ["Date"], now: 0 });
         assert(
             property(array(step, { maxLength: 40 }), steps => {
@@ -105,7 +105,8 @@
                         removedAt ??= now;
                     }
                     else if (kind <= 2) {
-                        // A poll that was sent `waitMs` ago is answered now, on what was acknowledged until a majority was heard.
+                        // Answers a poll sent `waitMs` ago with what was acknowledged when the quorum was last
+                        // confirmed.
                         const quorumAgeMs = Math.min(delayMs, 900);
                         const knows = removedAt !== undefined && removedAt <= now - quorumAgeMs;
                         arriving.push({
--- a/packages/availability/src/availabilities.ts
+++ b/packages/availability/src/availabilities.ts
@@ -1,91 +1,96 @@
-/** Whether a request may go to an upstream now, by what that upstream has said of itself. */
+/** Decides whether a request may be sent to an upstream, based on the signals that the upstream has sent. */
 import { LeaverBook } from "./leavers.js";
 import { RateLimits } from "./ratelimits.js";
 import { RestBook } from "./rests.js";
 
-/** What an upstream has said of itself. */
+/** State of an upstream according to its own signals. All times are monotonic. */
 export type Availability =
     | { readonly kind: "open"; }
-    /** `since`: steady time of the first word. */
+    /** The upstream is shutting down; `since`: when it first announced that. */
     | { readonly kind: "leaving"; readonly since: number; }
-    /** `until`: steady time. */
+    /** The upstream asked for a pause; `until`: when the pause ends. */
     | { readonly kind: "resting"; readonly until: number; }
-    /** It takes a rate, and this process has no permit; `until`: steady time at which there may be one. */
+    /** The upstream is rate limited and this process holds no permit; `until`: when it may get one. */
     | { readonly kind: "limited"; readonly until: number; };
 
 const open: Availability = { kind: "open" };
 
 /**
- * What upstreams have said to this process, by incarnation. Both ways in for callers ask it, for the choice and
- * again right before sending; so does whoever else sends to upstreams.
+ * Signals that this process has received from upstreams, by incarnation. Consulted when an upstream is selected, and
+ * again right before a request is sent.
  */
 export class AvailabilityBook {
     public readonly rates = new RateLimits();
-    private readonly leavers = new LeaverBook();
-    private readonly rests = new RestBook();
+    private readonly draining = new LeaverBook();
+    private readonly backoffs = new RestBook();
 
-    /** An upstream says that it leaves; whether that is new. */
+    /** Records that an upstream is shutting down; returns whether that is new. */
     public leaves(upstream: string): boolean {
-        return this.leavers.add(upstream);
+        return this.draining.add(upstream);
     }
 
-    /** An upstream wants no requests from this process for so many milliseconds. */
+    /** Stops sending to an upstream for `ms` milliseconds. */
     public rest(upstream: string, ms: number): void {
-        this.rests.begin(upstream, ms);
+        this.backoffs.begin(upstream, ms);
     }
 
-    /** An upstream has answered without asking for rest; whether a rest of it is over by that. */
+    /** Records an answer that asked for no backoff; returns whether that ended one. */
     public answered(upstream: string): boolean {
-        return this.rests.answered(upstream);
+        return this.backoffs.answered(upstream);
     }
 
-    /** A request goes to an upstream. */
+    /** Records that a request is sent to an upstream. */
     public sent(upstream: string): void {
-        this.rests.sent(upstream);
+        this.backoffs.sent(upstream);
     }
 
-    /** Upstreams that have first said within a time that they leave, in milliseconds. */
+    /** Upstreams that announced their shutdown within the last `withinMs` milliseconds. */
     public recentLeavers(withinMs: number): string[] {
-        return this.leavers.recent(withinMs);
+        return this.draining.recent(withinMs);
     }
 
     public isLeaving(upstream: string): boolean {
-        return this.leavers.has(upstream);
+        return this.draining.has(upstream);
     }
 
-    /** Whether an upstream is to be chosen for a request. */
+    /** Whether an upstream may be selected for a new request. */
     public choosable(upstream: string): Availability {
-        const stand = this.judge(upstream, this.rests.choosableFrom(upstream));
+        const availability = this.evaluate(upstream, this.backoffs.choosableFrom(upstream));
         const until = this.rates.heldUntil(upstream);
-        return stand.kind === "open" && until !== undefined ? { kind: "limited", until } : stand;
+        return availability.kind === "open" && until !== undefined ? { kind: "limited", until } : availability;
     }
 
-    /** Whether what was chosen, or can't go elsewhere, may still be sent; rates are apart, see {@link RateLimits.take}. */
+    /**
+     * Whether a request may still be sent to an upstream already selected for it, or the only one that can serve it.
+     * Doesn't check rate limits: see {@link RateLimits.acquirePermit}.
+     */
     public sendable(upstream: string): Availability {
-        return this.judge(upstream, this.rests.untilOf(upstream));
+        return this.evaluate(upstream, this.backoffs.untilOf(upstream));
     }
 
-    private judge(upstream: string, restsUntil: number | undefined): Availability {
-        const since = this.leavers.sinceOf(upstream);
+    private evaluate(upstream: string, backoffUntil: number | undefined): Availability {
+        const since = this.draining.sinceOf(upstream);
         if (since !== undefined) {
             return { kind: "leaving", since };
         }
-        return restsUntil === undefined ? open : { kind: "resting", until: restsUntil };
+        return backoffUntil === undefined ? open : { kind: "resting", until: backoffUntil };
     }
 }
 
-/** Those of `all` that have not asked for rest, and the steady time at which the first of the others ends its own. */
+/**
+ * Candidates that are not backing off, and the earliest monotonic time at which one of the others becomes available.
+ */
 export function withoutResting<T>(
     availability: Pick<AvailabilityBook, "choosable">,
-    all: readonly T[],
-    idOf: (one: T) => string,
+    candidates: readonly T[],
+    idOf: (candidate: T) => string,
 ): { readonly awake: T[]; readonly until: number; } {
     const awake: T[] = [];
     let until = Number.POSITIVE_INFINITY;
-    for (const one of all) {
-        const stand = availability.choosable(idOf(one));
-        if (stand.kind === "resting") {
-            until = Math.min(until, stand.until);
+    for (const one of candidates) {
+        const current = availability.choosable(idOf(one));
+        if (current.kind === "resting") {
+            until = Math.min(until, current.until);
         }
         else {
             awake.push(one);
--- a/packages/availability/src/leavers.ts
+++ b/packages/availability/src/leavers.ts
@@ -1,51 +1,51 @@
-/** Upstreams that have said that they leave. */
+/** Upstreams that have announced their shutdown. */
 import { steadyNow } from "@winchpath/core";
 
-/** Upstreams that are remembered; those that said so first give way. */
-const mostLeavers = 4096;
-/** A leaver is gone well before this time is over, in milliseconds: it serves for some seconds more. */
-const rememberedMs = 600_000;
+/** The oldest entries are evicted beyond this. */
+const maxUpstreams = 4096;
+/** An upstream that shuts down serves for a few seconds more, so it is gone well before its entry expires. */
+const retentionMs = 600_000;
 
 /**
- * By incarnation. Leaving is final: nothing that is heard later of the same incarnation takes it back, since it was
- * said before, or by somebody who hasn't heard of it.
+ * Keyed by incarnation. Shutting down is final: a signal of the same incarnation that arrives later was sent earlier,
+ * or by a process that doesn't know of the shutdown yet.
  */
 export class LeaverBook {
-    /** Steady time of the first word of each. */
-    private readonly since = new Map<string, number>();
+    /** Monotonic time of the first announcement, by upstream. */
+    private readonly announcedAt = new Map<string, number>();
 
-    /** An upstream leaves; whether that is new. */
+    /** Records that an upstream is shutting down; returns whether that is new. */
     public add(upstream: string): boolean {
-        if (this.since.has(upstream)) {
+        if (this.announcedAt.has(upstream)) {
             return false;
         }
-        this.forgetOld();
-        this.since.set(upstream, steadyNow());
+        this.removeExpired();
+        this.announcedAt.set(upstream, steadyNow());
         return true;
     }
 
     public has(upstream: string): boolean {
-        return this.since.has(upstream);
+        return this.announcedAt.has(upstream);
     }
 
-    /** Steady time of the first word; undefined where none came. */
+    /** Monotonic time of the first announcement. */
     public sinceOf(upstream: string): number | undefined {
-        return this.since.get(upstream);
+        return this.announcedAt.get(upstream);
     }
 
-    /** Those that said so within a time, in milliseconds. */
+    /** Upstreams that announced their shutdown within the last `withinMs` milliseconds. */
     public recent(withinMs: number): string[] {
         const from = steadyNow() - withinMs;
-        return [...this.since].filter(([, at]) => at >= from).map(([upstream]) => upstream);
+        return [...this.announcedAt].filter(([, at]) => at >= from).map(([upstream]) => upstream);
     }
 
-    private forgetOld(): void {
+    private removeExpired(): void {
         const now = steadyNow();
-        for (const [upstream, at] of this.since) {
-            if (now - at <= rememberedMs && this.since.size < mostLeavers) {
+        for (const [upstream, at] of this.announcedAt) {
+            if (now - at <= retentionMs && this.announcedAt.size < maxUpstreams) {
                 return;
             }
-            this.since.delete(upstream);
+            this.announcedAt.delete(upstream);
         }
     }
 }
--- a/packages/availability/src/rateledgers.ts
+++ b/packages/availability/src/rateledgers.ts
@@ -1,158 +1,161 @@
-/** The leader's side of rates that upstreams have named: which there are, and who may send. */
+/** The leader's side of rate limits that upstreams announce: tracks the limits and grants permits to processes. */
 import { type EventLog, steadyNow, TokenBucket } from "@winchpath/core";
 import { type RateGrant, type RateReport } from "./ratelimits.js";
 
-/** A bucket saves up what comes in this time, and at least one request. */
-const savedSeconds = 0.25;
-/** An upstream that takes less is sent a request this often all the same, to learn whether that is still so. */
-const leastPerSecond = 0.25;
-/** Within this time a new leader hears from processes that know of a rate, in milliseconds. */
-const learnMs = 4000;
+/** Burst size of a bucket, in seconds of its rate; at least one request. */
+const bucketSeconds = 0.25;
+/** A limit below this is treated as this rate, so that occasional requests find out whether it still applies. */
+const minPerSecond = 0.25;
+/** Time within which a new leader learns of all limits that processes know. */
+const learningPeriodMs = 4000;
 /**
- * All processes may use their permits in one moment, so they hold together no more than come in this time, and two at
- * least.
+ * All processes may use their permits at the same moment, so the permits they hold together are limited to this many
+ * seconds of the rate, and to two at least.
  */
-const heldSeconds = 1;
-const leastHeld = 2;
+const outstandingSeconds = 1;
+const minOutstandingPermits = 2;
 /**
- * Permits last this long, or twice the time between two of them, with the bound, in milliseconds: few requests may come
- * to a process that holds one, and the others can't have it meanwhile.
+ * Permits are valid for twice the interval between two of them, within these bounds: a process that gets few requests
+ * must not keep permits from the others for long.
  */
-const shortestLifeMs = 2000;
-const lifePerPermit = 2;
-const longestLifeMs = 5000;
-/** A word that a rate is over is remembered for this long, in milliseconds: an older one may still come. */
-const rememberedMs = 60_000;
-/** Processes that want a permit ask again within this time, in milliseconds. */
-const longestDryMs = 2000;
-/** They do so sooner where the leader doesn't know yet whether there is a rate, in milliseconds. */
-const learningDryMs = 500;
-
-type LimitedReport = RateReport & { readonly kind: "limited"; };
-
-/** Permits that a process may still use. */
-interface Holding {
+const minPermitLifetimeMs = 2000;
+const lifetimeInPermitIntervals = 2;
+const maxPermitLifetimeMs = 5000;
+/** How long a lifted limit is remembered, so that older reports of the limit that arrive late are ignored. */
+const liftedRetentionMs = 60_000;
+/** Upper bound of the delay after which processes may ask for permits again. */
+const maxRetryDelayMs = 2000;
+/** Used instead while the leader doesn't know yet whether there is a limit. */
+const learningRetryDelayMs = 500;
+
+type LimitReport = RateReport & { readonly kind: "limited"; };
+
+/** Unexpired permits of one process. */
+interface OutstandingPermits {
     readonly permits: number;
-    /** Steady time at which the last of them lapses. */
+    /** Monotonic time at which the last of them expires. */
     readonly until: number;
 }
 
 interface Limit {
     readonly perSecond: number;
-    /** What may be granted now. */
+    /** Permits that may be granted now. */
     readonly bucket: TokenBucket;
     /** By process. */
-    readonly holdings: Map<string, Holding>;
+    readonly outstanding: Map<string, OutstandingPermits>;
 }
 
-/** The newest word on one upstream. */
+/** Latest known state of one upstream. */
 interface RateRecord {
-    /** Undefined where the rate is over. */
+    /** Undefined if the limit was lifted. */
     readonly limit: Limit | undefined;
-    /** Steady time at which it was named, or at which the request was sent whose answer named none. */
+    /** Monotonic time at which the limit was announced, or at which the request was sent whose answer had no limit. */
     readonly at: number;
 }
 
 /**
- * Each permit is taken out of its upstream's bucket as it is granted, and lost where it isn't used, so what is sent
- * never exceeds what was granted, whoever fails or answers late. A new leader counts as many permits as processes may
- * hold as granted by the one before.
+ * A permit is taken out of the upstream's bucket when it is granted and is lost if it isn't used, so requests never
+ * exceed grants, even if processes fail or messages are late. A new leader assumes that the previous one had granted
+ * the maximum.
  */
 export class RateLedger {
     private readonly records = new Map<string, RateRecord>();
-    private readonly since = steadyNow();
+    private readonly startedAt = steadyNow();
 
-    /** `onChange` is told of each word whether an upstream has a rate. */
+    /** `onChange` is called for each new report of whether an upstream is limited. */
     public constructor(
         private readonly log: EventLog,
         private readonly onChange: (upstream: string, limited: boolean) => void,
     ) {}
 
-    /** Takes in what a process tells, and answers each report. */
+    /** Processes the reports of one process and returns a grant for each. */
     public take(from: string, reports: readonly RateReport[]): RateGrant[] {
-        this.forgetOld();
+        this.removeExpired();
         return reports.map(report => {
-            this.hear(from, report);
-            return this.answer(from, report);
+            this.recordReport(from, report);
+            return this.grantFor(from, report);
         });
     }
 
-    private hear(from: string, report: RateReport): void {
+    private recordReport(from: string, report: RateReport): void {
         const perSecond = report.kind === "limited" ? report.perSecond : undefined;
         if (report.kind === "limited" && perSecond === undefined) {
             return;
         }
         const { upstream, ageMs } = report;
         const at = steadyNow() - ageMs;
-        const before = this.records.get(upstream);
-        if (before !== undefined && at <= before.at) {
+        const previous = this.records.get(upstream);
+        if (previous !== undefined && at <= previous.at) {
             return;
         }
-        const limit = perSecond === undefined ? undefined : this.limitOf(perSecond, before?.limit);
+        const limit = perSecond === undefined ? undefined : this.createLimit(perSecond, previous?.limit);
         this.records.set(upstream, { limit, at });
-        if (before?.limit?.perSecond !== perSecond) {
+        if (previous?.limit?.perSecond !== perSecond) {
             const event = limit === undefined ? "upstream.unlimited" : "upstream.limited";
-            this.log.info(event, { upstream, perSecond, before: before?.limit?.perSecond, from, ageMs });
+            this.log.info(event, { upstream, perSecond, before: previous?.limit?.perSecond, from, ageMs });
         }
         this.onChange(upstream, limit !== undefined);
     }
 
-    private answer(from: string, report: RateReport): RateGrant {
+    private grantFor(from: string, report: RateReport): RateGrant {
         const { upstream } = report;
         const record = this.records.get(upstream);
         const none = { upstream, lifted: false, permits: 0, lifeMs: 0, dryMs: 0 };
         if (record === undefined) {
-            // Others may know of a rate that nobody has told this leader of yet.
-            const learning = steadyNow() - this.since < learnMs;
-            return learning ? { ...none, dryMs: learningDryMs } : { ...none, lifted: true };
+            // Other processes may know of a limit that this leader hasn't heard of yet.
+            const isLearning = steadyNow() - this.startedAt < learningPeriodMs;
+            return isLearning ? { ...none, dryMs: learningRetryDelayMs } : { ...none, lifted: true };
         }
         if (record.limit === undefined) {
             return { ...none, lifted: true };
         }
-        return report.kind === "limited" ? grant(record.limit, from, report) : none;
+        return report.kind === "limited" ? grantPermits(record.limit, from, report) : none;
     }
 
-    /** Goes on with what was saved up before: a rate may change with each answer. */
-    private limitOf(perSecond: number, before: Limit | undefined): Limit {
-        const rate = usedRate(perSecond);
-        const size = Math.max(1, rate * savedSeconds);
-        // Permits of the leader before may still be held.
-        const isNew = steadyNow() - this.since < longestLifeMs;
-        const bucket = before?.bucket ?? new TokenBucket(rate, size, isNew ? -mostHeld(rate) : 0);
+    /** Keeps the bucket of the previous limit: an upstream may announce a new rate with every answer. */
+    private createLimit(perSecond: number, previous: Limit | undefined): Limit {
+        const rate = effectiveRate(perSecond);
+        const size = Math.max(1, rate * bucketSeconds);
+        // Permits granted by the previous leader may still be in use.
+        const isNew = steadyNow() - this.startedAt < maxPermitLifetimeMs;
+        const bucket = previous?.bucket ?? new TokenBucket(rate, size, isNew ? -maxOutstandingPermits(rate) : 0);
         bucket.resize(rate, size);
-        return { perSecond, bucket, holdings: before?.holdings ?? new Map() };
+        return { perSecond, bucket, outstanding: previous?.outstanding ?? new Map() };
     }
 
-    private forgetOld(): void {
+    private removeExpired(): void {
         const now = steadyNow();
         for (const [upstream, { limit, at }] of this.records) {
-            if (limit === undefined && now - at > rememberedMs) {
+            if (limit === undefined && now - at > liftedRetentionMs) {
                 this.records.delete(upstream);
             }
         }
     }
 }
 
-function grant(limit: Limit, from: string, { upstream, wanted, held }: LimitedReport): RateGrant {
-    const { bucket, holdings } = limit;
-    const rate = usedRate(limit.perSecond);
-    const lifeMs = Math.min(longestLifeMs, Math.max(shortestLifeMs, lifePerPermit * 1000 / rate));
-    holdings.delete(from);
-    const free = mostHeld(rate) - held - heldBy(holdings);
-    const permits = Math.max(0, Math.min(wanted, Math.floor(bucket.level), Math.floor(free)));
+function grantPermits(limit: Limit, from: string, { upstream, wanted, held }: LimitReport): RateGrant {
+    const { bucket, outstanding } = limit;
+    const rate = effectiveRate(limit.perSecond);
+    const lifeMs = Math.min(
+        maxPermitLifetimeMs,
+        Math.max(minPermitLifetimeMs, lifetimeInPermitIntervals * 1000 / rate),
+    );
+    outstanding.delete(from);
+    const available = maxOutstandingPermits(rate) - held - countOutstanding(outstanding);
+    const permits = Math.max(0, Math.min(wanted, Math.floor(bucket.level), Math.floor(available)));
     bucket.take(permits);
-    holdings.set(from, { permits: held + permits, until: steadyNow() + lifeMs });
-    const lacking = wanted > permits ? Math.max(0, 1 - bucket.level) : 0;
-    return { upstream, lifted: false, permits, lifeMs, dryMs: Math.min(longestDryMs, lacking / rate * 1000) };
+    outstanding.set(from, { permits: held + permits, until: steadyNow() + lifeMs });
+    const missing = wanted > permits ? Math.max(0, 1 - bucket.level) : 0;
+    return { upstream, lifted: false, permits, lifeMs, dryMs: Math.min(maxRetryDelayMs, missing / rate * 1000) };
 }
 
-/** Permits that processes may still use; forgets those that have lapsed. */
-function heldBy(holdings: Map<string, Holding>): number {
+/** Counts unexpired permits and removes expired ones. */
+function countOutstanding(outstanding: Map<string, OutstandingPermits>): number {
     const now = steadyNow();
     let sum = 0;
-    for (const [process, { permits, until }] of holdings) {
+    for (const [process, { permits, until }] of outstanding) {
         if (until <= now) {
-            holdings.delete(process);
+            outstanding.delete(process);
         }
         else {
             sum += permits;
@@ -161,10 +164,10 @@
     return sum;
 }
 
-function mostHeld(rate: number): number {
-    return Math.max(leastHeld, rate * heldSeconds);
+function maxOutstandingPermits(rate: number): number {
+    return Math.max(minOutstandingPermits, rate * outstandingSeconds);
 }
 
-function usedRate(perSecond: number): number {
-    return Math.max(perSecond, leastPerSecond);
+function effectiveRate(perSecond: number): number {
+    return Math.max(perSecond, minPerSecond);
 }
--- a/packages/availability/src/ratelimits.ts
+++ b/packages/availability/src/ratelimits.ts
@@ -1,111 +1,114 @@
-/** Rates that upstreams have named, and what this process may send within them. */
+/** Rate limits that upstreams have announced, and the permits of this process to send within them. */
 import { steadyNow } from "@winchpath/core";
 
-/** Until the leader has said when there may be a permit, one is expected after this time, in milliseconds. */
-const expectedMs = 100;
-/** Share of what was sent since the last report that is asked for ahead: where much passes, requests need not wait. */
-const againShare = 0.5;
-/** Upstreams that are remembered; those that were named first give way. */
-const mostLimited = 4096;
+/** Assumed time until a permit is available, before the leader has given one. */
+const defaultPermitDelayMs = 100;
+/**
+ * Share of the permits used since the last report that is requested ahead, so that steady traffic needn't wait for
+ * permits.
+ */
+const prefetchShare = 0.5;
+/** The oldest entries are evicted beyond this. */
+const maxUpstreams = 4096;
 
-/** What a process tells the leader of an upstream and its rate. */
+/** What a process reports to the leader about the rate limit of an upstream. */
 export type RateReport =
     | {
         readonly kind: "limited";
         readonly upstream: string;
-        /** Requests a second; undefined where only the leader has told this process that there is a limit. */
+        /** Requests per second; undefined if this process knows of the limit only from the leader. */
         readonly perSecond: number | undefined;
-        /** Age of that word, in milliseconds. */
+        /** Age of the information in milliseconds. */
         readonly ageMs: number;
-        /** Permits that are asked for. */
+        /** Number of permits requested. */
         readonly wanted: number;
-        /** Permits that are left of earlier ones. */
+        /** Number of unused permits from earlier grants. */
         readonly held: number;
     }
     | {
         readonly kind: "lifted";
         readonly upstream: string;
-        /** How long ago a request was sent whose answer named no rate, in milliseconds. */
+        /** Time since the request was sent whose answer had no limit, in milliseconds. */
         readonly ageMs: number;
     };
 
-/** The leader's answer to a report. */
+/** The leader's response to a report. */
 export interface RateGrant {
     readonly upstream: string;
-    /** Whether the upstream takes requests without limit, by all that the leader knows. */
+    /** Whether the upstream has no limit as far as the leader knows. */
     readonly lifted: boolean;
-    /** Requests that may be sent. */
+    /** Number of permits granted. */
     readonly permits: number;
-    /** They are lost unless they are used within this time after the report was made, in milliseconds. */
+    /** Validity of the permits in milliseconds, counted from the creation of the report. */
     readonly lifeMs: number;
-    /** Nothing will be granted within this time, in milliseconds. */
+    /** No further permits are granted for this many milliseconds. */
     readonly dryMs: number;
 }
 
-/** Whether a request may go to an upstream, as far as rates go. */
+/** Whether the rate limit of an upstream lets a request through. */
 export type RateVerdict = "unlimited" | "permitted" | "refused";
 
-/** A word of the upstream itself. */
-interface NamedRate {
+/** A limit that the upstream itself has announced to this process. */
+interface AnnouncedRate {
     readonly perSecond: number;
-    /** Steady time from which it is known to hold. */
+    /** Monotonic time from which the rate is known to apply. */
     readonly at: number;
 }
 
 /** Permits of one grant. */
-interface Batch {
+interface PermitBatch {
     permits: number;
-    /** Steady time at which they lapse. */
+    /** Monotonic time of expiry. */
     readonly until: number;
 }
 
 class LimitedUpstream {
-    public named: NamedRate | undefined;
-    /** Leadership that was told that there is a rate. */
-    public toldTo = "";
-    /** Those that lapse first come first. */
-    private batches: Batch[] = [];
-    private dryUntil = 0;
-    /** Permits that were used since the last report. */
+    public announced: AnnouncedRate | undefined;
+    /** Epoch of the leader that the limit was last reported to. */
+    public reportedTo = "";
+    /** Sorted by expiry, earliest first. */
+    private batches: PermitBatch[] = [];
+    private noPermitsUntil = 0;
+    /** Permits used since the last report. */
     public used = 0;
-    /** Requests that would have gone there since the last report. */
-    private readonly wanting = new Set<string>();
+    /** Requests since the last report that would have been sent to this upstream. */
+    private readonly waitingRequests = new Set<string>();
 
-    /** `since`: steady time from which this process has known that there is a limit. */
+    /** `since`: monotonic time at which this process learned of the limit. */
     public constructor(private readonly since: number) {}
 
-    /** Steady time of the newest word that there is a limit. */
-    public get at(): number {
-        return this.named?.at ?? this.since;
+    /** Monotonic time of the latest information that the limit applies. */
+    public get updatedAt(): number {
+        return this.announced?.at ?? this.since;
     }
 
     public get available(): number {
-        this.lapse();
+        this.dropExpired();
         return this.batches.reduce((sum, { permits }) => sum + permits, 0);
     }
 
-    public get isDry(): boolean {
-        return steadyNow() < this.dryUntil;
+    public get isExhausted(): boolean {
+        return steadyNow() < this.noPermitsUntil;
     }
 
-    /** Steady time at which there may be a permit. */
-    public get nextAt(): number {
-        return Math.max(this.dryUntil, steadyNow() + expectedMs);
+    /** Monotonic time at which a permit may become available. */
+    public get nextPermitAt(): number {
+        return Math.max(this.noPermitsUntil, steadyNow() + defaultPermitDelayMs);
     }
 
-    /** Permits to ask for. */
-    public get wanted(): number {
-        const again = Math.floor(this.used * againShare);
-        return this.isDry ? 0 : Math.max(0, this.wanting.size + again - this.available);
+    /** Number of permits to request. */
+    public get permitsNeeded(): number {
+        const prefetch = Math.floor(this.used * prefetchShare);
+        return this.isExhausted ? 0 : Math.max(0, this.waitingRequests.size + prefetch - this.available);
     }
 
-    public want(request: string): void {
-        this.wanting.add(request);
+    public addWaiting(request: string): void {
+        this.waitingRequests.add(request);
     }
 
-    /** Uses a permit; whether there was one. */
-    public use(): boolean {
-        this.lapse();
+    /** Uses a permit; returns false if there is none. */
+    public usePermit(): boolean {
+        this.dropExpired();
         if (this.batches.length === 0) {
             return false;
         }
@@ -115,21 +118,21 @@
         return true;
     }
 
-    /** What was wanted has been asked for. */
-    public asked(): void {
-        this.wanting.clear();
+    /** Resets the counters after they were reported. */
+    public markReported(): void {
+        this.waitingRequests.clear();
         this.used = 0;
     }
 
-    public allow({ permits, lifeMs, dryMs }: RateGrant, askedAt: number): void {
+    public applyGrant({ permits, lifeMs, dryMs }: RateGrant, askedAt: number): void {
         if (permits > 0) {
             this.batches.push({ permits, until: askedAt + lifeMs });
             this.batches.sort((a, b) => a.until - b.until);
         }
-        this.dryUntil = steadyNow() + dryMs;
+        this.noPermitsUntil = steadyNow() + dryMs;
     }
 
-    private lapse(): void {
+    private dropExpired(): void {
         while (this.batches.length > 0 && steadyNow() >= this.batches[0].until) {
             this.batches.shift();
         }
@@ -137,94 +140,97 @@
 }
 
 /**
- * A rate holds for all processes together, so each request needs a permit of the leader, and without a leader nothing
- * goes there. Rates are believed from the upstream's own answers and from the leader. One is over once a request
- * that was sent after the newest word of it has got an answer that names none.
+ * A rate limit applies to all processes together, so each request needs a permit from the leader; without a leader no
+ * request is sent to a limited upstream. Limits are learned from answers of the upstream and from the leader. A limit
+ * is lifted once a request that was sent after the latest information on it gets an answer without a limit.
  */
 export class RateLimits {
     private readonly limited = new Map<string, LimitedUpstream>();
-    /** Steady time at which a request was sent whose answer named no rate any more; until a leader has been told. */
+    /** Monotonic send time of the request that showed a limit to be lifted; kept until a leader has been told. */
     private readonly lifted = new Map<string, number>();
-    private press: () => void = () => undefined;
-    private granted: () => void = () => undefined;
+    private requestReport: () => void = () => undefined;
+    private onPermits: () => void = () => undefined;
 
-    /** `press` is called where the leader is to be told or asked soon, `granted` where requests may go that could not. */
-    public listen(press: () => void, granted: () => void): void {
-        this.press = press;
-        this.granted = granted;
+    /**
+     * `requestReport` is called when the leader should be contacted soon, `onPermits` when blocked requests may
+     * proceed.
+     */
+    public listen(requestReport: () => void, onPermits: () => void): void {
+        this.requestReport = requestReport;
+        this.onPermits = onPermits;
     }
 
     /**
-     * An upstream has named its rate, in requests a second, in the answer to a request that was sent at such a steady
-     * time; gives the rate that was believed before, if there was one.
+     * Records a rate in requests per second from the answer to a request sent at `sentAt` (monotonic); returns the rate
+     * that was known before.
      */
     public name(upstream: string, perSecond: number, sentAt: number): number | undefined {
-        const state = this.limited.get(upstream) ?? this.begin(upstream);
-        const before = state.named;
-        if (before === undefined || perSecond <= before.perSecond) {
-            state.named = { perSecond, at: steadyNow() };
+        const state = this.limited.get(upstream) ?? this.addUpstream(upstream);
+        const previous = state.announced;
+        if (previous === undefined || perSecond <= previous.perSecond) {
+            state.announced = { perSecond, at: steadyNow() };
         }
-        else if (sentAt >= before.at) {
-            // A higher rate may be an older word, unless its request went out after the lower one was heard.
-            state.named = { perSecond, at: sentAt };
+        else if (sentAt >= previous.at) {
+            // An answer to a request sent before the lower rate was known may be outdated.
+            state.announced = { perSecond, at: sentAt };
         }
-        if (before === undefined || perSecond < before.perSecond) {
-            state.toldTo = "";
-            this.press();
+        if (previous === undefined || perSecond < previous.perSecond) {
+            state.reportedTo = "";
+            this.requestReport();
         }
-        return before?.perSecond;
+        return previous?.perSecond;
     }
 
-    /** The leader knows that an upstream has named a rate. */
+    /** Records that the leader knows of a limit. */
     public told(upstream: string): void {
-        // Until the leader knows what this process has found out since.
+        // A limit that this process has found to be lifted stays lifted until the leader has been told.
         if (!this.limited.has(upstream) && !this.lifted.has(upstream)) {
-            this.begin(upstream);
+            this.addUpstream(upstream);
         }
     }
 
-    /** A request that was sent at such a steady time has got an answer without a rate; whether a limit is over by that. */
+    /** Records an answer without a limit to a request sent at `sentAt`; returns whether that lifted one. */
     public answeredWithout(upstream: string, sentAt: number): boolean {
         const state = this.limited.get(upstream);
-        if (state === undefined || sentAt < state.at) {
+        if (state === undefined || sentAt < state.updatedAt) {
             return false;
         }
         this.limited.delete(upstream);
         this.lifted.set(upstream, sentAt);
-        this.press();
+        this.requestReport();
         return true;
     }
 
-    /** Steady time from which a request may go there; undefined where one may go now. */
+    /** Monotonic time at which a request may be sent; undefined if one may be sent now. */
     public heldUntil(upstream: string): number | undefined {
         const state = this.limited.get(upstream);
-        return state === undefined || state.available > 0 ? undefined : state.nextAt;
+        return state === undefined || state.available > 0 ? undefined : state.nextPermitAt;
     }
 
-    /** A request would go there if it might. */
+    /** Records that a request is waiting for a permit. */
     public want(upstream: string, request: string): void {
         const state = this.limited.get(upstream);
-        state?.want(request);
-        if (state?.isDry === false) {
-            this.press();
+        state?.addWaiting(request);
+        if (state?.isExhausted === false) {
+            this.requestReport();
         }
     }
 
-    /** A request is about to be sent there; takes a permit where one is needed. */
+    /** Takes a permit for a request that is about to be sent, if one is needed. */
     public take(upstream: string): RateVerdict {
         const state = this.limited.get(upstream);
         if (state === undefined) {
             return "unlimited";
         }
-        return state.use() ? "permitted" : "refused";
+        return state.usePermit() ? "permitted" : "refused";
     }
 
-    /** Whether a leadership is to be told or asked something. */
+    /** Whether there is something to report to the leader of this epoch. */
     public hasNews(epoch: string): boolean {
-        return this.lifted.size > 0 || [...this.limited.values()].some(state => isNews(state, epoch));
+        return this.lifted.size > 0 || [...this.limited.values()].some(state => needsReport(state, epoch));
     }
 
-    /** What a leadership is to be told and asked now; what is wanted counts as asked for. */
+    /** Creates the reports for the leader of this epoch, and resets the counters that they contain. */
     public reports(epoch: string): RateReport[] {
         const now = steadyNow();
         const reports: RateReport[] = [];
@@ -232,22 +238,22 @@
             reports.push({ kind: "lifted", upstream, ageMs: now - sentAt });
         }
         for (const [upstream, state] of this.limited) {
-            if (isNews(state, epoch)) {
+            if (needsReport(state, epoch)) {
                 reports.push({
                     kind: "limited",
                     upstream,
-                    perSecond: state.named?.perSecond,
-                    ageMs: now - state.at,
-                    wanted: state.wanted,
+                    perSecond: state.announced?.perSecond,
+                    ageMs: now - state.updatedAt,
+                    wanted: state.permitsNeeded,
                     held: state.available,
                 });
-                state.asked();
+                state.markReported();
             }
         }
         return reports;
     }
 
-    /** A leadership has answered `reports`, which were made at such a steady time. */
+    /** Applies the leader's response to reports that were created at `askedAt` (monotonic). */
     public answered(
         reports: readonly RateReport[],
         grants: readonly RateGrant[],
@@ -259,31 +265,31 @@
                 this.lifted.delete(upstream);
             }
             else if (state !== undefined) {
-                state.toldTo = epoch;
+                state.reportedTo = epoch;
             }
         }
-        grants.forEach(grant => this.allow(grant, askedAt));
+        grants.forEach(grant => this.applyGrant(grant, askedAt));
         if (grants.some(({ permits, lifted }) => permits > 0 || lifted)) {
-            this.granted();
+            this.onPermits();
         }
     }
 
-    private allow(grant: RateGrant, askedAt: number): void {
+    private applyGrant(grant: RateGrant, askedAt: number): void {
         const state = this.limited.get(grant.upstream);
         if (!grant.lifted) {
             this.told(grant.upstream);
-            this.limited.get(grant.upstream)?.allow(grant, askedAt);
+            this.limited.get(grant.upstream)?.applyGrant(grant, askedAt);
         }
-        else if (state !== undefined && state.at <= askedAt) {
+        else if (state !== undefined && state.updatedAt <= askedAt) {
             this.limited.delete(grant.upstream);
         }
     }
 
-    private begin(upstream: string): LimitedUpstream {
+    private addUpstream(upstream: string): LimitedUpstream {
         const state = new LimitedUpstream(steadyNow());
         this.limited.set(upstream, state);
         this.lifted.delete(upstream);
-        if (this.limited.size > mostLimited) {
+        if (this.limited.size > maxUpstreams) {
             const [first] = this.limited.keys();
             this.limited.delete(first);
         }
@@ -291,7 +297,9 @@
     }
 }
 
-/** Whether a leadership is to be told that an upstream has named a rate or permits were used, or asked for some. */
-function isNews(state: LimitedUpstream, epoch: string): boolean {
-    return state.wanted > 0 || state.used > 0 || (state.named !== undefined && state.toldTo !== epoch);
+/**
+ * Whether there are permits to request, used permits to report, or a limit that the leader of this epoch doesn't know.
+ */
+function needsReport(state: LimitedUpstream, epoch: string): boolean {
+    return state.permitsNeeded > 0 || state.used > 0 || (state.announced !== undefined && state.reportedTo !== epoch);
 }
--- a/packages/availability/src/rests.ts
+++ b/packages/availability/src/rests.ts
@@ -1,74 +1,73 @@
-/** Rests that upstreams have asked this process for. */
+/** Backoff that upstreams have requested from this process. */
 import { steadyNow } from "@winchpath/core";
 
-/**
- * An upstream that asks for longer is asked again after this time, by a single request, in milliseconds: a slip of
- * an upstream, hours in place of seconds, would lose it for good otherwise.
- */
-const longestRestMs = 600_000;
-/** A request after a rest that has shown nothing by then makes room for another, in milliseconds. */
-const trialMs = 1000;
-/** Upstreams that are remembered; those whose rest ends first give way. */
-const mostRests = 4096;
+/** Longer backoffs are cut to this, so that an upstream that sends a wrong value isn't lost for hours. */
+const maxBackoffMs = 600_000;
+/** Time after which another probe may be sent if the first got no answer. */
+const probeTimeoutMs = 1000;
+/** Entries that expire first are evicted beyond this. */
+const maxUpstreams = 4096;
 
-interface Rest {
-    /** Steady time of its end. */
+interface Backoff {
+    /** Monotonic time at which the backoff ends. */
     until: number;
-    /** Steady time until which the first request after it may show whether the upstream takes requests again. */
-    trialUntil: number;
+    /** Monotonic time until which the answer to the first request after the backoff is awaited. */
+    probeUntil: number;
 }
 
 /**
- * Rests end by themselves. A rest is no failure: it says nothing of how well an upstream serves what it takes, and
- * unlike an ejection it holds however many others rest as well.
+ * A backoff expires by itself. It doesn't count as a failure, and unlike outlier ejection it applies no matter how many
+ * other upstreams are backing off.
  */
 export class RestBook {
-    private readonly rests = new Map<string, Rest>();
+    private readonly backoffs = new Map<string, Backoff>();
 
-    /** An upstream wants no requests from this process for so long; the longest of several rests holds. */
+    /** Starts a backoff; where several overlap, the latest end applies. */
     public begin(upstream: string, ms: number): void {
-        const before = this.rests.get(upstream);
-        const until = steadyNow() + Math.min(ms, longestRestMs);
-        this.rests.set(upstream, { until: Math.max(until, before?.until ?? 0), trialUntil: 0 });
-        if (this.rests.size > mostRests) {
-            this.dropFirstToEnd();
+        const previous = this.backoffs.get(upstream);
+        const until = steadyNow() + Math.min(ms, maxBackoffMs);
+        this.backoffs.set(upstream, { until: Math.max(until, previous?.until ?? 0), probeUntil: 0 });
+        if (this.backoffs.size > maxUpstreams) {
+            this.dropEarliest();
         }
     }
 
-    /** Steady time until which nothing at all may be sent to an upstream; undefined where something may. */
+    /** Monotonic time until which no request may be sent; undefined if requests may be sent. */
     public untilOf(upstream: string): number | undefined {
-        const until = this.rests.get(upstream)?.until;
+        const until = this.backoffs.get(upstream)?.until;
         return until !== undefined && until > steadyNow() ? until : undefined;
     }
 
     /**
-     * Steady time until which an upstream is not to be chosen; undefined where it is. After its rest it is let in by
-     * one request, so that what has waited at all entries doesn't come in the same millisecond.
+     * Monotonic time until which an upstream must not be selected; undefined if it may be. After a backoff a single
+     * probe request is let through first, so that requests waiting at all entries aren't sent at once.
      */
     public choosableFrom(upstream: string): number | undefined {
-        const rest = this.rests.get(upstream);
-        if (rest === undefined) {
+        const backoff = this.backoffs.get(upstream);
+        if (backoff === undefined) {
             return undefined;
         }
-        const from = Math.max(rest.until, rest.trialUntil);
+        const from = Math.max(backoff.until, backoff.probeUntil);
         return from > steadyNow() ? from : undefined;
     }
 
-    /** A request goes to an upstream; the first one after its rest is the one to show how it stands. */
+    /** Records that a request is sent; the first one after a backoff is the probe. */
     public sent(upstream: string): void {
-        const rest = this.rests.get(upstream);
-        if (rest !== undefined && rest.until <= steadyNow()) {
-            rest.trialUntil = steadyNow() + trialMs;
+        const backoff = this.backoffs.get(upstream);
+        if (backoff !== undefined && backoff.until <= steadyNow()) {
+            backoff.probeUntil = steadyNow() + probeTimeoutMs;
         }
     }
 
-    /** An upstream has answered without asking for rest; whether a rest of it is over by that. */
+    /** Records an answer that asked for no backoff; returns whether that ended one. */
     public answered(upstream: string): boolean {
-        return this.untilOf(upstream) === undefined && this.rests.delete(upstream);
+        return this.untilOf(upstream) === undefined && this.backoffs.delete(upstream);
     }
 
-    private dropFirstToEnd(): void {
-        const [first] = [...this.rests].reduce((one, other) => other[1].until < one[1].until ? other : one);
-        this.rests.delete(first);
+    private dropEarliest(): void {
+        const [first] = [...this.backoffs].reduce((earliest, other) =>
+            other[1].until < earliest[1].until ? other : earliest
+        );
+        this.backoffs.delete(first);
     }
 }
--- a/packages/availability/src/tests/availabilities.test.ts
+++ b/packages/availability/src/tests/availabilities.test.ts
@@ -3,95 +3,95 @@
 import { afterEach, beforeEach, describe, it, mock } from "node:test";
 import { AvailabilityBook, LeaverBook, withoutResting } from "../index.js";
 
-describe("what upstreams say of themselves", () => {
+describe("availability signals of upstreams", () => {
     beforeEach(() => mock.timers.enable({ apis: ["Date"], now: 1_000_000 }));
     afterEach(() => mock.timers.reset());
 
-    const kinds = (book: AvailabilityBook, upstream = "a") => [
-        book.choosable(upstream).kind,
-        book.sendable(upstream).kind,
+    const kinds = (tracker: AvailabilityBook, upstream = "a") => [
+        tracker.choosable(upstream).kind,
+        tracker.sendable(upstream).kind,
     ];
 
-    describe("that they leave", () => {
-        it("is final for an incarnation, and says nothing of another", () => {
-            const book = new AvailabilityBook();
-            expect([book.leaves("a@1"), book.leaves("a@1")]).toEqual([true, false]);
-            book.answered("a@1");
+    describe("shutdown", () => {
+        it("is final for an incarnation and doesn't affect another", () => {
+            const tracker = new AvailabilityBook();
+            expect([tracker.leaves("a@1"), tracker.leaves("a@1")]).toEqual([true, false]);
+            tracker.answered("a@1");
             mock.timers.tick(60_000);
-            expect(kinds(book, "a@1")).toEqual(["leaving", "leaving"]);
-            expect(kinds(book, "a@2")).toEqual(["open", "open"]);
+            expect(kinds(tracker, "a@1")).toEqual(["leaving", "leaving"]);
+            expect(kinds(tracker, "a@2")).toEqual(["open", "open"]);
         });
 
-        it("goes before a rest", () => {
-            const book = new AvailabilityBook();
-            book.rest("a", 3000);
-            book.leaves("a");
-            expect(kinds(book)).toEqual(["leaving", "leaving"]);
+        it("takes precedence over backoff", () => {
+            const tracker = new AvailabilityBook();
+            tracker.rest("a", 3000);
+            tracker.leaves("a");
+            expect(kinds(tracker)).toEqual(["leaving", "leaving"]);
         });
 
-        it("is remembered of the latest thousands, for ten minutes at least", () => {
-            const book = new LeaverBook();
+        it("is kept for the latest 4096 upstreams, for at least ten minutes", () => {
+            const tracker = new LeaverBook();
             for (let index = 0; index < 10_000; index++) {
-                book.add(`u${index}`);
+                tracker.add(`u${index}`);
             }
-            expect([book.has("u0"), book.has("u9999")]).toEqual([false, true]);
-            expect(book.recent(1000).length).toEqual(4096);
+            expect([tracker.has("u0"), tracker.has("u9999")]).toEqual([false, true]);
+            expect(tracker.recent(1000).length).toEqual(4096);
             mock.timers.tick(600_000);
-            book.add("late");
-            expect([book.has("u9999"), book.recent(1000)]).toEqual([true, ["late"]]);
+            tracker.add("late");
+            expect([tracker.has("u9999"), tracker.recent(1000)]).toEqual([true, ["late"]]);
         });
     });
 
-    describe("that they want rest", () => {
-        it("holds until its end, the longest of several", () => {
-            const book = new AvailabilityBook();
-            book.rest("a", 3000);
-            book.rest("a", 500);
+    describe("backoff", () => {
+        it("lasts until the latest end of overlapping ones", () => {
+            const tracker = new AvailabilityBook();
+            tracker.rest("a", 3000);
+            tracker.rest("a", 500);
             mock.timers.tick(2999);
-            expect(kinds(book)).toEqual(["resting", "resting"]);
-            expect(book.answered("a")).toEqual(false);
-            expect(kinds(book)).toEqual(["resting", "resting"]);
+            expect(kinds(tracker)).toEqual(["resting", "resting"]);
+            expect(tracker.answered("a")).toEqual(false);
+            expect(kinds(tracker)).toEqual(["resting", "resting"]);
             mock.timers.tick(1);
-            expect(kinds(book)).toEqual(["open", "open"]);
+            expect(kinds(tracker)).toEqual(["open", "open"]);
         });
 
-        it("ends with one request, until that is answered or a second is over", () => {
-            const book = new AvailabilityBook();
-            book.rest("a", 1000);
+        it("ends with one probe, until that is answered or a second has passed", () => {
+            const tracker = new AvailabilityBook();
+            tracker.rest("a", 1000);
             mock.timers.tick(1000);
-            book.sent("a");
-            // Not chosen for others, but what was chosen may go.
-            expect(kinds(book)).toEqual(["resting", "open"]);
-            expect(book.answered("a")).toEqual(true);
-            expect(kinds(book)).toEqual(["open", "open"]);
-            book.rest("a", 1000);
+            tracker.sent("a");
+            // Not selected for new requests, but a request already assigned may be sent.
+            expect(kinds(tracker)).toEqual(["resting", "open"]);
+            expect(tracker.answered("a")).toEqual(true);
+            expect(kinds(tracker)).toEqual(["open", "open"]);
+            tracker.rest("a", 1000);
             mock.timers.tick(1000);
-            book.sent("a");
+            tracker.sent("a");
             mock.timers.tick(1000);
-            expect(kinds(book)).toEqual(["open", "open"]);
+            expect(kinds(tracker)).toEqual(["open", "open"]);
         });
 
-        it("is bounded at ten minutes, and to thousands of upstreams", () => {
-            const book = new AvailabilityBook();
-            book.rest("a", 1e12);
+        it("is limited to ten minutes and to 4096 upstreams", () => {
+            const tracker = new AvailabilityBook();
+            tracker.rest("a", 1e12);
             mock.timers.tick(600_000);
-            expect(kinds(book)).toEqual(["open", "open"]);
+            expect(kinds(tracker)).toEqual(["open", "open"]);
             for (let index = 0; index < 5000; index++) {
-                book.rest(`u${index}`, 1000 + index);
+                tracker.rest(`u${index}`, 1000 + index);
             }
-            expect([kinds(book, "u0")[1], kinds(book, "u4999")[1]]).toEqual(["open", "resting"]);
+            expect([kinds(tracker, "u0")[1], kinds(tracker, "u4999")[1]]).toEqual(["open", "resting"]);
         });
 
-        it("leaves out all that rest, and tells the first end", () => {
-            const book = new AvailabilityBook();
-            book.rest("a", 3000);
-            book.rest("b", 2000);
+        it("excludes upstreams from selection, and gives the earliest end", () => {
+            const tracker = new AvailabilityBook();
+            tracker.rest("a", 3000);
+            tracker.rest("b", 2000);
             const idOf = (id: string) => id;
-            expect(withoutResting(book, ["a", "b"], idOf)).toEqual({ awake: [], until: 1_002_000 });
-            expect(withoutResting(book, ["a", "c"], idOf)).toEqual({ awake: ["c"], until: 1_003_000 });
+            expect(withoutResting(tracker, ["a", "b"], idOf)).toEqual({ awake: [], until: 1_002_000 });
+            expect(withoutResting(tracker, ["a", "c"], idOf)).toEqual({ awake: ["c"], until: 1_003_000 });
         });
 
-        it("never lets anything be sent before its end, whatever else is heard meanwhile", () => {
+        it("blocks all requests until its end under random events", () => {
             const act = fc.oneof(
                 fc.record({ kind: fc.constant("rest" as const), ms: fc.integer({ min: 1, max: 5000 }) }),
                 fc.record({ kind: fc.constant("sent" as const), ms: fc.constant(0) }),
@@ -100,22 +100,22 @@
             );
             fc.assert(
                 fc.property(fc.array(act, { maxLength: 60 }), acts => {
-                    const book = new AvailabilityBook();
+                    const tracker = new AvailabilityBook();
                     let until = 0;
                     for (const { kind, ms } of acts) {
                         if (kind === "pass") {
                             mock.timers.tick(ms);
                         }
                         else if (kind === "rest") {
-                            book.rest("a", ms);
+                            tracker.rest("a", ms);
                             until = Math.max(until, Date.now() + ms);
                         }
                         else {
-                            book[kind]("a");
+                            tracker[kind]("a");
                         }
                         const rests = Date.now() < until;
-                        expect(book.sendable("a").kind).toEqual(rests ? "resting" : "open");
-                        expect(rests && book.choosable("a").kind === "open").toEqual(false);
+                        expect(tracker.sendable("a").kind).toEqual(rests ? "resting" : "open");
+                        expect(rests && tracker.choosable("a").kind === "open").toEqual(false);
                     }
                 }),
                 { numRuns: 500, seed: 37 },
--- a/packages/availability/src/tests/ratehistories.test.ts
+++ b/packages/availability/src/tests/ratehistories.test.ts
@@ -5,38 +5,38 @@
 import prand from "pure-rand";
 import { RateLedger, RateLimits } from "../index.js";
 
-/** Time moves in steps of so many milliseconds. */
+/** Duration of a simulation step in milliseconds. */
 const stepMs = 10;
-/** The upstream names its rate from here to there, in milliseconds. */
-const namedFrom = 1000;
-const namedUntil = 16_000;
+/** Period in which the upstream announces its rate, in milliseconds. */
+const limitedFrom = 1000;
+const limitedUntil = 16_000;
 const endMs = 40_000;
-/** Requests that reach the upstream in the last seconds, once nothing holds them back, are counted over this time. */
-const lastMs = 4000;
-/** A rate binds this long after it was first named, in milliseconds. */
-const contactMs = 3000;
+/** Duration of the final period in which unlimited throughput is checked, in milliseconds. */
+const measuredMs = 4000;
+/** Time after the first announcement from which the rate must be kept, in milliseconds. */
+const convergenceMs = 3000;
 const windowMs = 4000;
 const reportMs = 500;
 const pauseMs = 30;
 const upstream = "u";
-/** Draws are fractions of so many parts. */
+/** Number of distinct values of a random fraction. */
 const resolution = 1_000_000;
 
-interface History {
+interface Scenario {
     readonly entries: number;
     readonly perSecond: number;
-    /** Requests a second over all entries. */
+    /** Requests per second over all entries. */
     readonly demand: number;
-    /** How long messages and answers take at most, in milliseconds. */
+    /** Maximum delay of messages and answers, in milliseconds. */
     readonly delayMs: number;
     /** Share of messages that are lost. */
     readonly loss: number;
-    /** When the leader is lost, and for how long, in milliseconds. */
+    /** Leader failures: start and duration in milliseconds. */
     readonly losses: readonly { readonly at: number; readonly forMs: number; }[];
     readonly seed: number;
 }
 
-const histories = fc.record<History>({
+const scenarios = fc.record<Scenario>({
     entries: fc.integer({ min: 1, max: 40 }),
     perSecond: fc.oneof(fc.constant(0), fc.double({ min: 0.1, max: 30, noNaN: true })),
     demand: fc.integer({ min: 5, max: 200 }),
@@ -49,33 +49,33 @@
     seed: fc.integer(),
 });
 
-/** Entries, a leader that comes and goes, and one upstream; no network. */
-class World {
-    /** Times at which requests have reached the upstream. */
+/** Simulates entries, a leader that fails and recovers, and one upstream, without a network. */
+class Simulation {
+    /** Times at which requests reached the upstream. */
     public readonly arrivals: number[] = [];
     private readonly entries: { readonly rates: RateLimits; reportedAt: number; busy: boolean; }[];
-    private ledger: RateLedger | undefined;
+    private coordinator: RateLedger | undefined;
     private epoch = 0;
     private events: { readonly at: number; readonly act: () => void; }[] = [];
     private readonly generator: prand.RandomGenerator;
     private requests = 0;
     private due = 0;
 
-    public constructor(private readonly history: History, private readonly startedAt: number) {
-        this.generator = prand.xoroshiro128plus(history.seed);
-        this.entries = Array.from({ length: history.entries }, () => ({
+    public constructor(private readonly scenario: Scenario, private readonly startedAt: number) {
+        this.generator = prand.xoroshiro128plus(scenario.seed);
+        this.entries = Array.from({ length: scenario.entries }, () => ({
             rates: new RateLimits(),
             reportedAt: Number.NEGATIVE_INFINITY,
             busy: false,
         }));
-        this.lead();
-        for (const { at, forMs } of history.losses) {
-            this.later(at, () => this.ledger = undefined);
-            this.later(at + forMs, () => this.lead());
+        this.startLeader();
+        for (const { at, forMs } of scenario.losses) {
+            this.schedule(at, () => this.coordinator = undefined);
+            this.schedule(at + forMs, () => this.startLeader());
         }
     }
 
-    public play(): void {
+    public run(): void {
         while (this.now < endMs) {
             const due = this.events.filter(({ at }) => at <= this.now);
             this.events = this.events.filter(({ at }) => at > this.now);
@@ -90,33 +90,33 @@
         return Date.now() - this.startedAt;
     }
 
-    private later(ms: number, act: () => void): void {
+    private schedule(ms: number, act: () => void): void {
         this.events.push({ at: this.now + ms, act });
     }
 
-    private draw(): number {
+    private random(): number {
         return prand.unsafeUniformIntDistribution(0, resolution - 1, this.generator) / resolution;
     }
 
     private delay(): number {
-        return 1 + this.draw() * this.history.delayMs;
+        return 1 + this.random() * this.scenario.delayMs;
     }
 
-    private lead(): void {
+    private startLeader(): void {
         this.epoch += 1;
-        const ledger = new RateLedger(silentLog, (id, limited) => {
+        const coordinator = new RateLedger(silentLog, (id, limited) => {
             if (limited) {
-                this.entries.forEach(({ rates }) => this.later(this.delay(), () => rates.told(id)));
+                this.entries.forEach(({ rates }) => this.schedule(this.delay(), () => rates.told(id)));
             }
         });
-        this.ledger = ledger;
+        this.coordinator = coordinator;
     }
 
     private sendDue(): void {
-        this.due += this.history.demand * stepMs / 1000;
+        this.due += this.scenario.demand * stepMs / 1000;
         for (; this.due >= 1; this.due--) {
             this.requests += 1;
-            const { rates } = this.entries[Math.floor(this.draw() * this.history.entries)];
+            const { rates } = this.entries[Math.floor(this.random() * this.scenario.entries)];
             if (rates.heldUntil(upstream) === undefined) {
                 this.send(rates);
             }
@@ -129,13 +129,13 @@
     private send(rates: RateLimits): void {
         const sentAt = Date.now();
         rates.take(upstream);
-        this.later(this.delay(), () => {
+        this.schedule(this.delay(), () => {
             this.arrivals.push(this.now);
-            this.later(20 + this.draw() * 400, () => {
-                const limited = this.now >= namedFrom && this.now < namedUntil;
-                this.later(this.delay(), () => {
+            this.schedule(20 + this.random() * 400, () => {
+                const limited = this.now >= limitedFrom && this.now < limitedUntil;
+                this.schedule(this.delay(), () => {
                     if (limited) {
-                        rates.name(upstream, this.history.perSecond, sentAt);
+                        rates.name(upstream, this.scenario.perSecond, sentAt);
                     }
                     else {
                         rates.answeredWithout(upstream, sentAt);
@@ -145,31 +145,31 @@
         });
     }
 
-    /** A report that is lost, or whose answer is, is over after its timeout. */
+    /** A report whose message or response is lost ends with its timeout. */
     private report(index: number): void {
         const entry = this.entries[index];
         const epoch = String(this.epoch);
         const sinceMs = this.now - entry.reportedAt;
-        const { ledger } = this;
-        if (entry.busy || ledger === undefined || sinceMs < pauseMs || !entry.rates.hasNews(epoch)) {
+        const { coordinator } = this;
+        if (entry.busy || coordinator === undefined || sinceMs < pauseMs || !entry.rates.hasNews(epoch)) {
             return;
         }
         const askedAt = Date.now();
         const reports = entry.rates.reports(epoch);
         entry.reportedAt = this.now;
         entry.busy = true;
-        const [asked, answered] = [this.draw() >= this.history.loss, this.draw() >= this.history.loss];
+        const [asked, answered] = [this.random() >= this.scenario.loss, this.random() >= this.scenario.loss];
         if (!asked) {
-            this.later(reportMs, () => entry.busy = false);
+            this.schedule(reportMs, () => entry.busy = false);
             return;
         }
-        this.later(this.delay(), () => {
-            const grants = ledger === this.ledger ? ledger.take(`e${index}`, reports) : undefined;
+        this.schedule(this.delay(), () => {
+            const grants = coordinator === this.coordinator ? coordinator.take(`e${index}`, reports) : undefined;
             if (grants === undefined || !answered) {
-                this.later(reportMs, () => entry.busy = false);
+                this.schedule(reportMs, () => entry.busy = false);
                 return;
             }
-            this.later(this.delay(), () => {
+            this.schedule(this.delay(), () => {
                 entry.busy = false;
                 entry.rates.answered(reports, grants, { epoch, askedAt });
             });
@@ -177,29 +177,32 @@
     }
 }
 
-function worstWindow(arrivals: readonly number[], from: number, until: number): number {
+function maxArrivalsInWindow(arrivals: readonly number[], from: number, until: number): number {
     const times = arrivals.filter(at => at >= from && at < until);
     return Math.max(0, ...times.map(begin => times.filter(at => at >= begin && at < begin + windowMs).length));
 }
 
-describe("a rate that an upstream names, over all entries together,", () => {
+describe("a rate limit announced by an upstream, over all entries,", () => {
     beforeEach(() => mock.timers.enable({ apis: ["Date"], now: 1_000_000 }));
     afterEach(() => mock.timers.reset());
 
-    // Guards against entries that each keep within the rate, or believe different leaders, and overrun it together.
-    it("holds and is over with it, whatever messages are late or lost and whoever leads", () => {
+    // Guards against entries that exceed a limit together, because each keeps within it alone or they follow different
+    // leaders.
+    it("is kept and lifted under random delays, lost messages and leader changes", () => {
         fc.assert(
-            fc.property(histories, history => {
-                const world = new World(history, Date.now());
-                world.play();
+            fc.property(scenarios, history => {
+                const world = new Simulation(history, Date.now());
+                world.run();
                 const { arrivals } = world;
                 const allowed = Math.floor(1.5 * history.perSecond * windowMs / 1000 + 5);
-                expect(worstWindow(arrivals, namedFrom + contactMs, namedUntil)).toBeLessThanOrEqual(allowed);
-                const last = arrivals.filter(at => at >= endMs - lastMs).length;
-                const isLed = history.losses.every(({ at, forMs }) => at + forMs < namedUntil);
-                // Each entry learns it with a request of its own.
-                if (isLed && history.demand >= history.entries) {
-                    expect(last).toBeGreaterThan(history.demand * lastMs / 1000 * 0.9);
+                expect(maxArrivalsInWindow(arrivals, limitedFrom + convergenceMs, limitedUntil)).toBeLessThanOrEqual(
+                    allowed,
+                );
+                const last = arrivals.filter(at => at >= endMs - measuredMs).length;
+                const hasStableLeader = history.losses.every(({ at, forMs }) => at + forMs < limitedUntil);
+                // Each entry needs a request of its own to learn that the limit is lifted.
+                if (hasStableLeader && history.demand >= history.entries) {
+                    expect(last).toBeGreaterThan(history.demand * measuredMs / 1000 * 0.9);
                 }
             }),
             { numRuns: 150, seed: 45 },
--- a/packages/availability/src/tests/ratelimits.test.ts
+++ b/packages/availability/src/tests/ratelimits.test.ts
@@ -3,73 +3,73 @@
 import { afterEach, beforeEach, describe, it, mock } from "node:test";
 import { AvailabilityBook, RateLedger, RateLimits } from "../index.js";
 
-/** Tells and asks a leader, whose answer comes at once. */
-function report(rates: RateLimits, ledger: RateLedger, epoch = "1", entry = "e"): void {
+/** Reports to a leader and applies its response at once. */
+function report(rates: RateLimits, coordinator: RateLedger, epoch = "1", entry = "e"): void {
     const askedAt = Date.now();
     const reports = rates.reports(epoch);
-    rates.answered(reports, ledger.take(entry, reports), { epoch, askedAt });
+    rates.answered(reports, coordinator.take(entry, reports), { epoch, askedAt });
 }
 
-/** Verdicts on so many requests at one moment. */
-function takeMany(rates: RateLimits, count: number): string[] {
+/** Takes `count` permits at once. */
+function acquireMany(rates: RateLimits, count: number): string[] {
     return Array.from({ length: count }, () => rates.take("u"));
 }
 
-describe("rates that upstreams name", () => {
-    let ledger: RateLedger;
+describe("rate limits announced by upstreams", () => {
+    let coordinator: RateLedger;
     let rates: RateLimits;
     let changes: (readonly [string, boolean])[];
 
     beforeEach(() => {
         mock.timers.enable({ apis: ["Date"], now: 1_000_000 });
         changes = [];
-        ledger = new RateLedger(silentLog, (upstream, limited) => changes.push([upstream, limited]));
+        coordinator = new RateLedger(silentLog, (upstream, limited) => changes.push([upstream, limited]));
         rates = new RateLimits();
     });
     afterEach(() => mock.timers.reset());
 
-    /** Wants so many requests, and asks for them. */
+    /** Records `count` waiting requests and reports them. */
     function ask(count: number): void {
         Array.from({ length: count }, (_, index) => rates.want("u", `q${index}`));
-        report(rates, ledger);
+        report(rates, coordinator);
     }
 
     describe("at a process that sends", () => {
-        it("let nothing go there without a permit, from the first answer on", () => {
+        it("block requests without a permit from the first announcement on", () => {
             expect(rates.take("u")).toEqual("unlimited");
             expect(rates.name("u", 2, Date.now())).toEqual(undefined);
-            expect(takeMany(rates, 2)).toEqual(["refused", "refused"]);
+            expect(acquireMany(rates, 2)).toEqual(["refused", "refused"]);
         });
 
-        it("let so many go as were granted, until they lapse", () => {
+        it("let as many requests through as permits were granted, until those expire", () => {
             rates.name("u", 2, Date.now());
-            report(rates, ledger);
-            // Two may be held from a leader before.
+            report(rates, coordinator);
+            // A new leader assumes that two permits are outstanding from the previous one.
             mock.timers.tick(1500);
             ask(3);
-            expect(takeMany(rates, 2)).toEqual(["permitted", "refused"]);
+            expect(acquireMany(rates, 2)).toEqual(["permitted", "refused"]);
             mock.timers.tick(500);
             ask(3);
             mock.timers.tick(2000);
             expect(rates.take("u")).toEqual("refused");
         });
 
-        it("are told with their first word, and asked for as long as requests want to go there", () => {
+        it("are reported when announced, and while requests wait for permits", () => {
             rates.name("u", 0, Date.now());
             expect([rates.hasNews("1"), rates.reports("1").length]).toEqual([true, 1]);
-            report(rates, ledger);
+            report(rates, coordinator);
             expect(rates.hasNews("1")).toEqual(false);
             rates.want("u", "q");
             expect(rates.hasNews("1")).toEqual(true);
-            report(rates, ledger);
-            // The leader has said that there is nothing for a while.
+            report(rates, coordinator);
+            // The leader has said that there are no permits for a while.
             rates.want("u", "q");
             expect(rates.hasNews("1")).toEqual(false);
-            // Another leader knows nothing of it.
+            // A new leader doesn't know of the limit.
             expect(rates.hasNews("2")).toEqual(true);
         });
 
-        it("are lowered by any answer, and raised by one whose request went out after the lower one was heard", () => {
+        it("are lowered by any answer, but raised only if the request was sent after the lower rate was received", () => {
             const before = Date.now();
             rates.name("u", 5, before);
             mock.timers.tick(10);
@@ -81,7 +81,7 @@
             expect(rates.reports("2").map(one => one.kind === "limited" && one.perSecond)).toEqual([5]);
         });
 
-        it("are over by an answer without one, if its request went out after the newest word", () => {
+        it("are lifted by an answer without one if its request was sent after the latest announcement", () => {
             const before = Date.now();
             mock.timers.tick(10);
             rates.name("u", 1, before);
@@ -91,56 +91,56 @@
             expect(rates.take("u")).toEqual("unlimited");
         });
 
-        it("go behind departures and rests", () => {
-            const book = new AvailabilityBook();
-            book.rates.name("u", 1, Date.now());
-            expect([book.choosable("u").kind, book.sendable("u").kind]).toEqual(["limited", "open"]);
-            book.rest("u", 1000);
-            expect(book.choosable("u").kind).toEqual("resting");
-            book.leaves("u");
-            expect(book.choosable("u").kind).toEqual("leaving");
+        it("yield to shutdown and backoff", () => {
+            const tracker = new AvailabilityBook();
+            tracker.rates.name("u", 1, Date.now());
+            expect([tracker.choosable("u").kind, tracker.sendable("u").kind]).toEqual(["limited", "open"]);
+            tracker.rest("u", 1000);
+            expect(tracker.choosable("u").kind).toEqual("resting");
+            tracker.leaves("u");
+            expect(tracker.choosable("u").kind).toEqual("leaving");
         });
     });
 
     describe("at the leader", () => {
-        it("grant at first nothing, then the rate, and at once no more than a quarter of a second of it", () => {
+        it("grant nothing at first, then permits at the rate, with a burst of at most a quarter of a second", () => {
             rates.name("u", 20, Date.now());
             ask(50);
             expect(rates.take("u")).toEqual("refused");
             mock.timers.tick(10_000);
             ask(50);
-            expect(takeMany(rates, 6).filter(verdict => verdict === "permitted").length).toEqual(5);
+            expect(acquireMany(rates, 6).filter(verdict => verdict === "permitted").length).toEqual(5);
         });
 
-        it("ask an upstream that takes nothing once in four seconds", () => {
+        it("let a request through every four seconds where the rate is zero", () => {
             rates.name("u", 0, Date.now());
             let sent = 0;
             for (let second = 0; second < 40; second++) {
                 ask(5);
-                sent += takeMany(rates, 5).filter(verdict => verdict === "permitted").length;
+                sent += acquireMany(rates, 5).filter(verdict => verdict === "permitted").length;
                 mock.timers.tick(1000);
             }
             expect([sent <= 10, sent >= 7]).toEqual([true, true]);
         });
 
-        it("grant the first one a period after they were named, where no leader before can have granted any", () => {
+        it("grant the first permit one interval after the announcement, where no previous leader can have granted any", () => {
             mock.timers.tick(5000);
             rates.name("u", 2, Date.now());
-            report(rates, ledger);
+            report(rates, coordinator);
             mock.timers.tick(500);
             ask(1);
             expect(rates.take("u")).toEqual("permitted");
         });
 
-        it("grant no more than may be held at once, by all together, until that is used or lapses", () => {
+        it("bound the outstanding permits of all processes, until those are used or expire", () => {
             rates.name("u", 3, Date.now());
-            report(rates, ledger);
+            report(rates, coordinator);
             mock.timers.tick(10_000);
             const others = ["a", "b", "c", "d"].map(name => ({ name, rates: new RateLimits() }));
             for (const other of others) {
                 other.rates.told("u");
                 other.rates.want("u", "q");
-                report(other.rates, ledger, "1", other.name);
+                report(other.rates, coordinator, "1", other.name);
                 mock.timers.tick(400);
             }
             expect(others.map(other => other.rates.take("u"))).toEqual([
@@ -149,39 +149,39 @@
                 "permitted",
                 "refused",
             ]);
-            others.forEach(other => report(other.rates, ledger, "1", other.name));
+            others.forEach(other => report(other.rates, coordinator, "1", other.name));
             others[3].rates.want("u", "q");
-            report(others[3].rates, ledger, "1", "d");
+            report(others[3].rates, coordinator, "1", "d");
             expect(others[3].rates.take("u")).toEqual("permitted");
         });
 
-        it("are told to the others, and their end to those that ask, unless that is the older word", () => {
+        it("are passed on to other processes, and so is their end unless a newer announcement exists", () => {
             const other = new RateLimits();
             rates.name("u", 1, Date.now());
-            report(rates, ledger);
+            report(rates, coordinator);
             expect(changes).toEqual([["u", true]]);
             other.told("u");
             const late = new RateLimits();
             late.name("u", 1, Date.now());
             mock.timers.tick(1000);
             rates.answeredWithout("u", Date.now());
-            report(rates, ledger);
+            report(rates, coordinator);
             other.want("u", "q");
-            report(other, ledger, "1", "o");
+            report(other, coordinator, "1", "o");
             expect([changes[1], other.take("u")]).toEqual([["u", false], "unlimited"]);
-            report(late, ledger, "1", "l");
+            report(late, coordinator, "1", "l");
             expect([changes.length, late.take("u")]).toEqual([2, "unlimited"]);
         });
 
-        it("aren't over for one who knows of them only because the leader is new", () => {
+        it("aren't lifted merely because a new leader doesn't know of them yet", () => {
             const other = new RateLimits();
             other.told("u");
             other.want("u", "q");
-            report(other, ledger);
+            report(other, coordinator);
             expect(other.take("u")).toEqual("refused");
             mock.timers.tick(4000);
             other.want("u", "q");
-            report(other, ledger);
+            report(other, coordinator);
             expect(other.take("u")).toEqual("unlimited");
         });
     });
--- a/packages/availability/src/tests/unknownwords.test.ts
+++ b/packages/availability/src/tests/unknownwords.test.ts
@@ -3,9 +3,9 @@
 import { describe, it } from "node:test";
 import { UnknownWords } from "../index.js";
 
-describe("words of upstreams that mean nothing here", () => {
-    // Guards against an upstream that says something new being heard by nobody.
-    it("are told once for each service, without what was said, and in a bounded number", () => {
+describe("unsupported names from upstreams", () => {
+    // Guards against new signals of upstreams being dropped without notice.
+    it("are logged once per service, without their values, and in a bounded number", () => {
         const lines: unknown[] = [];
         const words = new UnknownWords({ ...silentLog, warn: (_event, values) => lines.push(values) }, new Metrics());
         words.note("s", "u1", ["server-mood"]);
--- a/packages/quarantine/src/crashbooks.ts
+++ b/packages/quarantine/src/crashbooks.ts
@@ -1,33 +1,33 @@
-/** The replicated part of the quarantine: which requests are suspected, and which are held back. */
+/** The replicated state of the quarantine: which requests are suspected of crashing upstreams, and which are barred. */
 import { Notifier } from "@winchpath/core";
 import Type, { type Static } from "typebox";
 import Value from "typebox/value";
 import { type QuarantineCommand, QuarantineCommand as Command, type UpstreamEnded } from "./commands.js";
-import { type ListedRequest, type QuarantineChanges, StandingLog } from "./standings.js";
-import { type Cause, StoredEnd, Suspicions } from "./suspicions.js";
+import { type ListedRequest, QuarantineChangeLog, type QuarantineChanges } from "./standings.js";
+import { CrashAttribution, type CrashSuspect, StoredCrash } from "./suspicions.js";
 
-/** An end counts against what ran there for this long, in milliseconds: callers come back within minutes. */
-const suspectedMs = 600_000;
+/** How long a crash counts against the requests that were running, in milliseconds; callers retry within minutes. */
+const crashRetentionMs = 600_000;
 /**
- * A request is held back for this long at first, in milliseconds, and twice as long each time after. Then it is let
- * in on probation: one more end holds it back again, so that one that is held back wrongly isn't for ever.
+ * The first bar lasts this long, in milliseconds, and each further one twice as long. After a bar the request is on
+ * probation: it is served, but a single crash bars it again, so a request that was barred wrongly is released in time.
  */
-const firstBarredMs = 600_000;
-const longestBarredMs = 24 * 3_600_000;
-/** Probation ends after this long without another end, in milliseconds. */
+const initialBarMs = 600_000;
+const maxBarMs = 24 * 3_600_000;
+/** Probation ends after this time without a crash, in milliseconds. */
 const probationMs = 3_600_000;
-/** Requests that are held back or on probation at once; the oldest give way. Each has cost three upstreams. */
-const mostHeld = 2000;
-/** Entries are told of a suspect from this many occasions on: one more, or a good end, decides. */
+/** Maximum number of requests that are barred or on probation; the oldest are evicted. */
+const maxTrackedRequests = 2000;
+/** Entries are told of a suspect from this many occasions on, since the next crash or success decides on it. */
 const occasionsToList = 2;
 
 const BarredRequest = Type.Object({
     fingerprint: Type.String(),
     size: Type.Integer(),
     occasions: Type.Integer(),
-    /** Until when it is held back; milliseconds since the epoch, by the leader's clock. */
+    /** End of the bar in milliseconds since the Unix epoch, by the leader's clock. */
     until: Type.Number(),
-    /** How often it was held back. */
+    /** How many times it has been barred. */
     times: Type.Integer(),
 });
 type BarredRequest = Static<typeof BarredRequest>;
@@ -37,96 +37,96 @@
     position: Type.Optional(Type.Integer()),
     barred: Type.Optional(Type.Array(BarredRequest)),
     probation: Type.Optional(Type.Array(BarredRequest)),
-    ends: Type.Optional(Type.Array(StoredEnd)),
+    ends: Type.Optional(Type.Array(StoredCrash)),
 });
 
-/** What a command has done, for the log of the process that proposed it. */
+/** Effects of a command, for the log of the process that proposed it. */
 export interface QuarantineResult {
-    readonly barred: readonly Cause[];
-    /** Held back before, and let in since other upstreams turn out to have ended at the same moments. */
+    readonly barred: readonly CrashSuspect[];
+    /** No longer barred, because other upstreams are now known to have crashed at the same times. */
     readonly lifted: readonly string[];
 }
 
-const nothingDone: QuarantineResult = { barred: [], lifted: [] };
+const unchanged: QuarantineResult = { barred: [], lifted: [] };
 
-/** A slice of the replicated state; a command that it can't read changes nothing. */
+/** A slice of the replicated state; commands that can't be decoded are ignored. */
 export class CrashBook {
     public readonly slice = "quarantine";
-    /** Notified when entries have something to learn. */
+    /** Notified when there is a change for entries. */
     public readonly changed = new Notifier();
-    private held: Uint8Array | undefined;
-    private suspicions = new Suspicions();
+    private fingerprintKey: Uint8Array | undefined;
+    private attribution = new CrashAttribution();
     private readonly barred = new Map<string, BarredRequest>();
-    /** Held back before, and let in again. */
+    /** Requests whose bar has expired. */
     private readonly probation = new Map<string, BarredRequest>();
-    private standings = new StandingLog();
+    private changeLog = new QuarantineChangeLog();
 
-    /** Of the fleet's fingerprints; undefined until a leader has set one. */
+    /** The fleet's fingerprint key; undefined until a leader has set it. */
     public get key(): Uint8Array | undefined {
-        return this.held;
+        return this.fingerprintKey;
     }
 
-    /** Position of the newest change. */
+    /** Position of the latest change. */
     public get position(): number {
-        return this.standings.position;
+        return this.changeLog.position;
     }
 
-    /** Whether nothing is suspected or barred, as far as entries are told. */
+    /** Whether no request is listed for entries. */
     public get isEmpty(): boolean {
-        return this.standings.isEmpty;
+        return this.changeLog.isEmpty;
     }
 
     public since(position: number): QuarantineChanges {
-        return this.standings.since(position);
+        return this.changeLog.since(position);
     }
 
-    /** What entries are told of a request; undefined where that is nothing. */
+    /** Listed status of a request; undefined if it isn't listed. */
     public standingOf(fingerprint: string): ListedRequest | undefined {
-        return this.standings.get(fingerprint);
+        return this.changeLog.get(fingerprint);
     }
 
-    /** Whether something has been known for long enough; `now` in milliseconds since the epoch. */
+    /** Whether some state has expired; `now` in milliseconds since the Unix epoch. */
     public isDue(now: number): boolean {
         return [...this.barred.values()].some(({ until }) => until < now)
             || [...this.probation.values()].some(({ until }) => until + probationMs < now);
     }
 
     public apply(command: unknown, { time }: { readonly time: number; }): QuarantineResult {
-        return Value.Check(Command, command) ? this.applyChecked(command, time) : nothingDone;
+        return Value.Check(Command, command) ? this.applyChecked(command, time) : unchanged;
     }
 
     public snapshot(): unknown {
         return {
-            ...(this.held === undefined ? {} : { key: Buffer.from(this.held).toString("base64") }),
+            ...(this.fingerprintKey === undefined ? {} : { key: Buffer.from(this.fingerprintKey).toString("base64") }),
             position: this.position,
             barred: [...this.barred.values()],
             probation: [...this.probation.values()],
-            ends: this.suspicions.snapshot(),
+            ends: this.attribution.snapshot(),
         };
     }
 
     public restore(state: unknown): void {
         const stored = Value.Check(StoredState, state) ? state : {};
         const { key, position = 0, barred = [], probation = [], ends = [] } = stored;
-        this.held = key === undefined ? undefined : Buffer.from(key, "base64");
+        this.fingerprintKey = key === undefined ? undefined : Buffer.from(key, "base64");
         this.barred.clear();
         this.probation.clear();
         barred.forEach(request => this.barred.set(request.fingerprint, request));
         probation.forEach(request => this.probation.set(request.fingerprint, request));
-        this.suspicions = new Suspicions();
-        this.suspicions.restore(ends);
-        // Positions hold within one leadership; entries are told everything at the start of each.
-        this.standings = new StandingLog(position);
-        this.tell();
+        this.attribution = new CrashAttribution();
+        this.attribution.restore(ends);
+        // Positions are valid under one leader only; a new leader sends entries the whole list.
+        this.changeLog = new QuarantineChangeLog(position);
+        this.publish();
     }
 
     private applyChecked(command: QuarantineCommand, time: number): QuarantineResult {
         switch (command.kind) {
             case "set-key":
                 this.setKey(command.key);
-                return nothingDone;
+                return unchanged;
             case "upstream-ended":
-                return this.takeEnd(command, time);
+                return this.recordCrash(command, time);
             case "cleared":
                 command.fingerprints.forEach(fingerprint => this.clear(fingerprint));
                 break;
@@ -134,51 +134,52 @@
                 this.expire(time);
                 break;
         }
-        this.tell();
-        return nothingDone;
+        this.publish();
+        return unchanged;
     }
 
     private setKey(key: string): void {
-        if (this.held === undefined) {
-            this.held = Buffer.from(key, "base64");
-            this.standings.touch();
+        if (this.fingerprintKey === undefined) {
+            this.fingerprintKey = Buffer.from(key, "base64");
+            this.changeLog.advance();
             this.changed.notify();
         }
     }
 
-    private takeEnd({ upstream, agoMs, suspects }: UpstreamEnded, time: number): QuarantineResult {
-        this.suspicions.forgetBefore(time - suspectedMs);
-        const told = { upstream, at: time - agoMs, toldAt: time, suspects };
+    private recordCrash({ upstream, agoMs, suspects }: UpstreamEnded, time: number): QuarantineResult {
+        this.attribution.removeBefore(time - crashRetentionMs);
+        const crash = { upstream, at: time - agoMs, reportedAt: time, suspects };
         const isBarred = (fingerprint: string) => this.barred.has(fingerprint);
         const isExplained = suspects.some(({ fingerprint }) => isBarred(fingerprint));
-        // What one that is held back explains, in flight as it may be, counts against nobody on probation.
-        const again = suspects
+        // A crash with a barred request among its suspects is explained by it, so it doesn't count against requests on
+        // probation.
+        const repeated = suspects
             .map(({ fingerprint }) => isExplained ? undefined : this.probation.get(fingerprint))
             .filter(found => found !== undefined);
-        const { causes, baseless } = this.suspicions.note(told, {
+        const { causes, unfounded } = this.attribution.recordCrash(crash, {
             barred: () => [...this.barred.keys()],
             isBarred,
             isOnProbation: fingerprint => this.probation.has(fingerprint),
         });
-        baseless.forEach(fingerprint => this.barred.delete(fingerprint));
-        const barred = [...causes, ...again];
+        unfounded.forEach(fingerprint => this.barred.delete(fingerprint));
+        const barred = [...causes, ...repeated];
         barred.forEach(cause => this.bar(cause, time));
         this.dropOldest();
-        this.tell();
-        return { barred, lifted: baseless };
+        this.publish();
+        return { barred, lifted: unfounded };
     }
 
-    private bar({ fingerprint, size, occasions }: Cause, time: number): void {
-        const before = this.probation.get(fingerprint);
+    private bar({ fingerprint, size, occasions }: CrashSuspect, time: number): void {
+        const previous = this.probation.get(fingerprint);
         this.probation.delete(fingerprint);
-        const times = (before?.times ?? 0) + 1;
-        const until = time + Math.min(longestBarredMs, firstBarredMs * 2 ** (times - 1));
-        const seen = before === undefined ? occasions : before.occasions + 1;
-        this.barred.set(fingerprint, { fingerprint, size, occasions: seen, until, times });
+        const times = (previous?.times ?? 0) + 1;
+        const until = time + Math.min(maxBarMs, initialBarMs * 2 ** (times - 1));
+        const totalOccasions = previous === undefined ? occasions : previous.occasions + 1;
+        this.barred.set(fingerprint, { fingerprint, size, occasions: totalOccasions, until, times });
     }
 
     private clear(fingerprint: string): void {
-        this.suspicions.clear(fingerprint);
+        this.attribution.clear(fingerprint);
         this.barred.delete(fingerprint);
         this.probation.delete(fingerprint);
     }
@@ -195,27 +196,27 @@
                 this.probation.set(request.fingerprint, request);
             }
         }
-        this.suspicions.forgetBefore(time - suspectedMs);
+        this.attribution.removeBefore(time - crashRetentionMs);
     }
 
     private dropOldest(): void {
-        while (this.barred.size + this.probation.size > mostHeld) {
-            const held = this.probation.size > 0 ? this.probation : this.barred;
-            const [oldest] = held.keys();
-            held.delete(oldest);
+        while (this.barred.size + this.probation.size > maxTrackedRequests) {
+            const requests = this.probation.size > 0 ? this.probation : this.barred;
+            const [oldest] = requests.keys();
+            requests.delete(oldest);
         }
     }
 
-    /** Brings what entries are told into line with what is known. */
-    private tell(): void {
-        const before = this.position;
+    /** Updates the list for entries to match the state. */
+    private publish(): void {
+        const previous = this.position;
         const listed = this.listed();
         const kept = new Set(listed.map(({ fingerprint }) => fingerprint));
-        this.standings.all()
+        this.changeLog.all()
             .filter(({ fingerprint }) => !kept.has(fingerprint))
-            .forEach(({ fingerprint }) => this.standings.remove(fingerprint));
-        listed.forEach(request => this.standings.put(request));
-        if (this.position !== before) {
+            .forEach(({ fingerprint }) => this.changeLog.remove(fingerprint));
+        listed.forEach(request => this.changeLog.put(request));
+        if (this.position !== previous) {
             this.changed.notify();
         }
     }
@@ -227,7 +228,7 @@
             occasions,
             standing: "barred",
         }));
-        const suspected = [...this.suspicions.all(), ...this.probation.values()]
+        const suspected = [...this.attribution.all(), ...this.probation.values()]
             .filter(({ fingerprint, occasions }) => occasions >= occasionsToList && !this.barred.has(fingerprint))
             .map(({ fingerprint, size, occasions }): ListedRequest => ({
                 fingerprint,
--- a/packages/quarantine/src/crashwatches.ts
+++ b/packages/quarantine/src/crashwatches.ts
@@ -1,73 +1,72 @@
 /**
- * The leader's side: gathers from all entries what ran at an upstream that seems to have ended, makes sure that it
- * has, and writes both into the replicated log. A connection that was reset, or an upstream that has left as it
- * said, counts against nobody.
+ * The leader's side: collects reports from entries about upstreams that seem to have crashed, verifies the crashes and
+ * writes them to the replicated log. Connection resets and announced shutdowns don't count as crashes.
  */
 import { type EventLog, messageOf, type Metrics, Notifier, steadyNow } from "@winchpath/core";
 import { randomBytes } from "node:crypto";
 import { type QuarantineCommand, type Suspect } from "./commands.js";
 import { type CrashBook, type QuarantineResult } from "./crashbooks.js";
 
-/** Entries tell of one end within this time of each other, in milliseconds; what comes later is added. */
-const gatherMs = 100;
-/** An end that nothing has confirmed by then did not happen, in milliseconds: ten announcements at the usual 1.2 s. */
-const unconfirmedMs = 12_000;
-/** How often what was told is looked at while some of it is open, and otherwise, in milliseconds. */
-const lookMs = 50;
-const idleMs = 1000;
-/** Fingerprints in one line of the log: as many as run at an upstream at once. */
-const mostLogged = 64;
-/** Bytes of the key of the fleet's fingerprints: as many as their digest has. */
+/** Time in which reports of one crash are collected before it is written; later reports are written separately. */
+const aggregationMs = 100;
+/** Unconfirmed reports are dropped after this time, in milliseconds: ten announcements at the default interval. */
+const confirmationTimeoutMs = 12_000;
+/** Intervals at which reports are checked while some are pending, and otherwise, in milliseconds. */
+const pendingCheckMs = 50;
+const idleCheckMs = 1000;
+/** Bound on the fingerprints in one log line. */
+const maxLoggedFingerprints = 64;
+/** Size of the fingerprint key, equal to that of the digest. */
 const keyBytes = 32;
 
 /**
- * What control knows of an incarnation of an upstream. A leader that has just begun has not heard of all that serve
- * (`unheard`); later, one that it doesn't know has left (`gone`).
+ * State of an upstream's incarnation according to the control plane. A new leader may not have heard of a running
+ * upstream yet (`unheard`); later, an unknown upstream has left (`gone`).
  */
 export type Presence = "serving" | "leaving" | "replaced" | "unheard" | "gone";
 
-/** What an entry saw of an upstream that seems to have ended. */
+/** Report of an entry about an upstream that seems to have crashed. */
 export interface CrashSight {
     readonly upstream: string;
-    /** Whether its address refuses connections. */
+    /** Whether connections to its address are refused. */
     readonly refused: boolean;
-    /** How long ago, in milliseconds. */
+    /** Time since the crash, in milliseconds. */
     readonly agoMs: number;
     readonly suspects: readonly Suspect[];
 }
 
-export interface CrashWatchParts {
+export interface CrashMonitorOptions {
     readonly book: () => CrashBook;
     readonly presence: (upstream: string) => Presence;
-    /** Writes a command into the log; returns once it is applied here. */
+    /** Appends a command to the replicated log; resolves once it is applied locally. */
     readonly propose: (command: QuarantineCommand) => Promise<QuarantineResult>;
     readonly log: EventLog;
     readonly metrics: Pick<Metrics, "count">;
 }
 
-interface Pending {
+interface PendingCrash {
     readonly upstream: string;
-    /** Steady times. */
-    readonly endedAt: number;
-    readonly heardAt: number;
+    /** Monotonic times. */
+    readonly crashedAt: number;
+    readonly reportedAt: number;
     refused: boolean;
-    /** By fingerprint; `sentAt` is a steady time. */
+    /** By fingerprint; `sentAt` is a monotonic time. */
     readonly suspects: Map<string, { readonly size: number; readonly sentAt: number; }>;
 }
 
 export class CrashWatch {
-    private readonly pending = new Map<string, Pending>();
-    /** Ends that are written, with the time: what is told of them later needs no confirmation. */
-    private readonly written = new Map<string, number>();
+    private readonly pending = new Map<string, PendingCrash>();
+    /** Crashes that were written, with the monotonic time: further reports of them need no confirmation. */
+    private readonly recorded = new Map<string, number>();
     private readonly wake = new Notifier();
 
-    public constructor(private readonly parts: CrashWatchParts) {}
+    public constructor(private readonly options: CrashMonitorOptions) {}
 
     public take(entry: string, sights: readonly CrashSight[], endedWell: readonly string[]): void {
-        sights.forEach(sight => this.takeSight(entry, sight));
-        const cleared = endedWell.filter(fingerprint => this.parts.book().standingOf(fingerprint) !== undefined);
+        sights.forEach(sight => this.addReport(entry, sight));
+        const cleared = endedWell.filter(fingerprint => this.options.book().standingOf(fingerprint) !== undefined);
         if (cleared.length > 0) {
-            this.parts.log.info("request.cleared", { entry, fingerprints: cleared });
+            this.options.log.info("request.cleared", { entry, fingerprints: cleared });
             void this.write({ kind: "cleared", fingerprints: cleared });
         }
         this.wake.notify();
@@ -76,29 +75,29 @@
     public async run(signal: AbortSignal): Promise<void> {
         while (!signal.aborted) {
             await this.setKey();
-            await this.wake.wait(this.pending.size > 0 ? lookMs : idleMs);
-            await this.look();
+            await this.wake.wait(this.pending.size > 0 ? pendingCheckMs : idleCheckMs);
+            await this.checkPending();
         }
     }
 
-    /** The first leader of a fleet draws the key; it holds from then on. */
+    /** Generates the fingerprint key if the fleet has none yet. */
     private async setKey(): Promise<void> {
-        if (this.parts.book().key === undefined) {
+        if (this.options.book().key === undefined) {
             await this.write({ kind: "set-key", key: randomBytes(keyBytes).toString("base64") });
         }
     }
 
-    private takeSight(entry: string, { upstream, refused, agoMs, suspects }: CrashSight): void {
+    private addReport(entry: string, { upstream, refused, agoMs, suspects }: CrashSight): void {
         const now = steadyNow();
-        const presence = this.parts.presence(upstream);
+        const presence = this.options.presence(upstream);
         let pending = this.pending.get(upstream);
         const hasLeft = presence === "leaving" || presence === "gone";
-        if (pending === undefined && !this.written.has(upstream) && hasLeft) {
-            this.parts.log.info("upstream.end-ignored", { upstream, entry, presence, suspects: suspects.length });
+        if (pending === undefined && !this.recorded.has(upstream) && hasLeft) {
+            this.options.log.info("upstream.end-ignored", { upstream, entry, presence, suspects: suspects.length });
             return;
         }
         if (pending === undefined) {
-            pending = { upstream, endedAt: now - agoMs, heardAt: now, refused, suspects: new Map() };
+            pending = { upstream, crashedAt: now - agoMs, reportedAt: now, refused, suspects: new Map() };
             this.pending.set(upstream, pending);
         }
         pending.refused ||= refused;
@@ -108,74 +107,74 @@
         }
     }
 
-    private async look(): Promise<void> {
+    private async checkPending(): Promise<void> {
         const now = steadyNow();
         for (const pending of [...this.pending.values()]) {
-            if (now - pending.heardAt >= gatherMs && this.isOver(pending)) {
-                await this.writeEnd(pending);
+            if (now - pending.reportedAt >= aggregationMs && this.isConfirmed(pending)) {
+                await this.recordCrash(pending);
             }
-            else if (now - pending.heardAt > unconfirmedMs) {
+            else if (now - pending.reportedAt > confirmationTimeoutMs) {
                 this.pending.delete(pending.upstream);
-                this.parts.log.info("upstream.end-unconfirmed", { upstream: pending.upstream });
+                this.options.log.info("upstream.end-unconfirmed", { upstream: pending.upstream });
             }
         }
-        for (const [upstream, at] of this.written) {
-            if (now - at > unconfirmedMs) {
-                this.written.delete(upstream);
+        for (const [upstream, at] of this.recorded) {
+            if (now - at > confirmationTimeoutMs) {
+                this.recorded.delete(upstream);
             }
         }
-        if (this.parts.book().isDue(Date.now())) {
+        if (this.options.book().isDue(Date.now())) {
             await this.write({ kind: "expire" });
         }
     }
 
-    private isOver({ upstream, refused }: Pending): boolean {
-        return refused || this.written.has(upstream) || this.parts.presence(upstream) === "replaced";
+    private isConfirmed({ upstream, refused }: PendingCrash): boolean {
+        return refused || this.recorded.has(upstream) || this.options.presence(upstream) === "replaced";
     }
 
-    private async writeEnd(pending: Pending): Promise<void> {
-        const { upstream, endedAt, suspects } = pending;
+    private async recordCrash(pending: PendingCrash): Promise<void> {
+        const { upstream, crashedAt, suspects } = pending;
         this.pending.delete(upstream);
-        this.written.set(upstream, steadyNow());
+        this.recorded.set(upstream, steadyNow());
         const now = steadyNow();
-        const agoMs = now - endedAt;
-        const told = [...suspects].map(([fingerprint, { size, sentAt }]) => ({
+        const agoMs = now - crashedAt;
+        const reported = [...suspects].map(([fingerprint, { size, sentAt }]) => ({
             fingerprint,
             size,
             sentAgoMs: now - sentAt,
         }));
-        const result = await this.write({ kind: "upstream-ended", upstream, agoMs, suspects: told });
+        const result = await this.write({ kind: "upstream-ended", upstream, agoMs, suspects: reported });
         if (result === undefined) {
-            // No majority just now; what was gathered is still true, and more may have come since.
+            // Without a quorum the report stays pending; suspects may have been added to it meanwhile.
             this.pending.get(upstream)?.suspects.forEach((suspect, fingerprint) => suspects.set(fingerprint, suspect));
             this.pending.set(upstream, pending);
             return;
         }
-        this.parts.log.warn("upstream.ended", {
+        this.options.log.warn("upstream.ended", {
             upstream,
             agoMs: Math.round(agoMs),
             refused: pending.refused,
-            suspects: told.slice(0, mostLogged).map(({ fingerprint }) => fingerprint),
-            suspectCount: told.length,
+            suspects: reported.slice(0, maxLoggedFingerprints).map(({ fingerprint }) => fingerprint),
+            suspectCount: reported.length,
         });
-        this.parts.metrics.count("upstreams_ended_total");
+        this.options.metrics.count("upstreams_ended_total");
         for (const fingerprint of result.lifted) {
-            this.parts.log.warn("request.unbarred", { fingerprint, upstream });
-            this.parts.metrics.count("requests_unbarred_total");
+            this.options.log.warn("request.unbarred", { fingerprint, upstream });
+            this.options.metrics.count("requests_unbarred_total");
         }
         for (const { fingerprint, occasions } of result.barred) {
-            this.parts.log.warn("request.barred", { fingerprint, occasions, upstream });
-            this.parts.metrics.count("requests_barred_total");
+            this.options.log.warn("request.barred", { fingerprint, occasions, upstream });
+            this.options.metrics.count("requests_barred_total");
         }
     }
 
-    /** Undefined where it could not be written. */
+    /** Returns undefined if the command couldn't be written. */
     private async write(command: QuarantineCommand): Promise<QuarantineResult | undefined> {
         try {
-            return await this.parts.propose(command);
+            return await this.options.propose(command);
         }
         catch (err) {
-            this.parts.log.warn("quarantine.unwritten", { kind: command.kind, error: messageOf(err) });
+            this.options.log.warn("quarantine.unwritten", { kind: command.kind, error: messageOf(err) });
             return undefined;
         }
     }
--- a/packages/quarantine/src/fingerprints.ts
+++ b/packages/quarantine/src/fingerprints.ts
@@ -1,25 +1,27 @@
-/** What equal requests have in common, whoever serves them: a keyed digest, so that nothing of a body or key is kept. */
+/** Fingerprints that identify equal requests: keyed digests, so that no body or key has to be stored. */
 import { createHmac } from "node:crypto";
 
-/** What makes two requests the same, as an upstream would run them. */
+/** The properties by which requests are considered equal. */
 export interface RequestIdentity {
     readonly method: string;
     readonly host: string;
-    /** Path and query, as the caller wrote them. */
+    /** Path and query as sent by the caller. */
     readonly url: string;
-    /** Account of the caller; undefined where none has to be known. */
+    /** Client account of the caller; undefined if the route requires none. */
     readonly account: string | undefined;
     readonly body: Uint8Array;
 }
 
-/** Bytes of a digest that are kept: two of 2^64 requests fall together. */
-const keptBytes = 16;
+/** Length to which digests are truncated. */
+const fingerprintBytes = 16;
 
-/** The key is the fleet's own: nobody outside can prepare two requests that fall together, or tell a body by its digest. */
+/**
+ * Computes a fingerprint with the fleet's secret key, so that callers can't construct collisions or recognize a body.
+ */
 export function fingerprintOf(key: Uint8Array, { method, host, url, account = "", body }: RequestIdentity): string {
     const hmac = createHmac("sha256", key);
-    // Lengths keep apart what would read the same without its borders.
+    // The JSON array and the body length keep fields separate that would be ambiguous when concatenated.
     hmac.update(JSON.stringify([method, host, url, account, body.length]));
     hmac.update(body);
-    return hmac.digest().subarray(0, keptBytes).toString("base64url");
+    return hmac.digest().subarray(0, fingerprintBytes).toString("base64url");
 }
--- a/packages/quarantine/src/goodends.ts
+++ b/packages/quarantine/src/goodends.ts
@@ -1,28 +1,28 @@
-/** Requests that came to a good end lately at this process: what ends upstreams never does. */
+/** Requests that recently completed successfully at this process, and so don't crash upstreams. */
 import { steadyNow } from "@winchpath/core";
 
 /**
- * An equal request that ended well within this time is no cause, in milliseconds. Without it, a request that
- * everybody sends was there at each end while all upstreams of a service failed one after the other.
+ * How long a success clears equal requests of suspicion, in milliseconds. Without it, a very frequent request would be
+ * present at every crash while the upstreams of a service fail one after the other.
  */
-const goodMs = 10_000;
-/** Requests that are remembered; the oldest give way. A busy entry ends 130 in a second. */
-const mostGood = 2048;
+const retentionMs = 10_000;
+/** The oldest entries are evicted beyond this. */
+const maxFingerprints = 2048;
 
 export class GoodEnds {
-    /** Steady time of the last good end, oldest first. */
-    private readonly ends = new Map<string, number>();
+    /** Monotonic time of the last success, oldest first. */
+    private readonly completedAt = new Map<string, number>();
 
     public note(fingerprint: string): void {
-        this.ends.delete(fingerprint);
-        this.ends.set(fingerprint, steadyNow());
-        const [oldest] = this.ends.keys();
-        if (this.ends.size > mostGood) {
-            this.ends.delete(oldest);
+        this.completedAt.delete(fingerprint);
+        this.completedAt.set(fingerprint, steadyNow());
+        const [oldest] = this.completedAt.keys();
+        if (this.completedAt.size > maxFingerprints) {
+            this.completedAt.delete(oldest);
         }
     }
 
     public has(fingerprint: string): boolean {
-        return steadyNow() - (this.ends.get(fingerprint) ?? Number.NEGATIVE_INFINITY) < goodMs;
+        return steadyNow() - (this.completedAt.get(fingerprint) ?? Number.NEGATIVE_INFINITY) < retentionMs;
     }
 }
--- a/packages/quarantine/src/lists.ts
+++ b/packages/quarantine/src/lists.ts
@@ -1,20 +1,20 @@
-/** What an entry knows of the quarantine, as the leader told it last. */
+/** An entry's copy of the quarantine list, as last received from the leader. */
 import { fingerprintOf, type RequestIdentity } from "./fingerprints.js";
 import { type ListedRequest, type QuarantineChanges } from "./standings.js";
 
 export class QuarantineList {
     private key: Uint8Array | undefined;
     private readonly listed = new Map<string, ListedRequest>();
-    /** How many of the listed have a body of a size. */
-    private readonly sizes = new Map<number, number>();
-    private heard = 0;
+    /** Number of listed requests by body size. */
+    private readonly countBySize = new Map<number, number>();
+    private appliedPosition = 0;
 
-    /** Up to which change the entry knows the fleet's; 0 where it knows none. */
+    /** Position of the last change that was applied; 0 if there is none. */
     public get position(): number {
-        return this.heard;
+        return this.appliedPosition;
     }
 
-    /** Takes the fleet's key in; an empty one says nothing. */
+    /** Sets the fleet's fingerprint key; an empty one is ignored. */
     public takeKey(key: Uint8Array): void {
         if (key.length > 0) {
             this.key = key;
@@ -22,23 +22,23 @@
     }
 
     public take({ position, whole, listed, removed }: QuarantineChanges): void {
-        const gone = whole ? [...this.listed.keys()] : removed;
-        gone.forEach(fingerprint => this.drop(fingerprint));
+        const obsolete = whole ? [...this.listed.keys()] : removed;
+        obsolete.forEach(fingerprint => this.drop(fingerprint));
         listed.forEach(request => this.put(request));
-        this.heard = position;
+        this.appliedPosition = position;
     }
 
-    /** Undefined until a leader has told the fleet's key. */
+    /** Undefined until a leader has sent the fingerprint key. */
     public fingerprint(identity: RequestIdentity): string | undefined {
         return this.key === undefined ? undefined : fingerprintOf(this.key, identity);
     }
 
     /**
-     * What is known of a request; undefined where that is nothing. Digests are taken only of requests whose
-     * body is as long as a listed one's, which spares nearly all others 15 µs for 5 KB.
+     * Listed status of a request; undefined if it isn't listed. Fingerprints are computed only if some listed request
+     * has the same body size, which avoids the cost for nearly all requests.
      */
     public standingOf(identity: RequestIdentity): ListedRequest | undefined {
-        if (!this.sizes.has(identity.body.length)) {
+        if (!this.countBySize.has(identity.body.length)) {
             return undefined;
         }
         return this.listed.get(this.fingerprint(identity) ?? "");
@@ -47,7 +47,7 @@
     private put(request: ListedRequest): void {
         this.drop(request.fingerprint);
         this.listed.set(request.fingerprint, request);
-        this.sizes.set(request.size, (this.sizes.get(request.size) ?? 0) + 1);
+        this.countBySize.set(request.size, (this.countBySize.get(request.size) ?? 0) + 1);
     }
 
     private drop(fingerprint: string): void {
@@ -56,12 +56,12 @@
             return;
         }
         this.listed.delete(fingerprint);
-        const left = this.sizes.get(request.size)! - 1;
-        if (left === 0) {
-            this.sizes.delete(request.size);
+        const remaining = this.countBySize.get(request.size)! - 1;
+        if (remaining === 0) {
+            this.countBySize.delete(request.size);
         }
         else {
-            this.sizes.set(request.size, left);
+            this.countBySize.set(request.size, remaining);
         }
     }
 }
--- a/packages/quarantine/src/probes.ts
+++ b/packages/quarantine/src/probes.ts
@@ -1,21 +1,21 @@
-/** Whether a process has ended: its host refuses connections to its address. */
+/** Detects whether a process has ended, by its host refusing connections to its address. */
 import { connect } from "node:net";
 
-/** A host that has not answered by then says nothing, in milliseconds: round trips take a few. */
+/** Without an answer within this time, in milliseconds, nothing is known about the process. */
 const probeTimeoutMs = 300;
 
-/** Whether an address refuses connections; one that takes them, or is silent, may belong to a process that lives. */
+/** Whether connections to an address are refused. A timeout counts as not refused, since the process may still run. */
 export function isRefused(address: string): Promise<boolean> {
     const { hostname, port } = new URL(`http://${address}`);
     return new Promise(resolve => {
         const socket = connect({ host: hostname, port: Number(port), noDelay: true });
-        const end = (refused: boolean) => {
+        const finish = (refused: boolean) => {
             clearTimeout(timer);
             socket.destroy();
             resolve(refused);
         };
-        const timer = setTimeout(() => end(false), probeTimeoutMs);
-        socket.once("connect", () => end(false));
-        socket.once("error", (err: NodeJS.ErrnoException) => end(err.code === "ECONNREFUSED"));
+        const timer = setTimeout(() => finish(false), probeTimeoutMs);
+        socket.once("connect", () => finish(false));
+        socket.once("error", (err: NodeJS.ErrnoException) => finish(err.code === "ECONNREFUSED"));
     });
 }
--- a/packages/quarantine/src/standings.ts
+++ b/packages/quarantine/src/standings.ts
@@ -1,93 +1,93 @@
-/** What the fleet holds of one request, and how that changes. */
+/** Status of listed requests, and the changes to the list. */
 
-/** Suspected ones are served; barred ones are refused. */
+/** Suspected requests are served, barred ones are refused. */
 export type Standing = "suspected" | "barred";
 
 export interface ListedRequest {
     readonly fingerprint: string;
-    /** Of its body, in bytes. */
+    /** Size of its body in bytes. */
     readonly size: number;
     readonly standing: Standing;
-    /** Occasions on which upstreams ended under it. */
+    /** Number of occasions on which upstreams crashed while running it. */
     readonly occasions: number;
 }
 
-/** What changed after a position. */
+/** Changes after a position. */
 export interface QuarantineChanges {
     readonly position: number;
-    /** Whether `listed` is everything there is. */
+    /** Whether `listed` is the complete list. */
     readonly whole: boolean;
     readonly listed: readonly ListedRequest[];
-    /** Fingerprints that stand for nothing any more. */
+    /** Fingerprints that are no longer listed. */
     readonly removed: readonly string[];
 }
 
-interface Placed {
+interface VersionedRequest {
     readonly request: ListedRequest;
     readonly position: number;
 }
 
-/** Removals that an entry may be behind before it is told everything anew. */
-const rememberedRemovals = 1000;
+/** Removals kept; an entry that is further behind gets the complete list. */
+const maxRemovals = 1000;
 
-/** What entries are told, in the order in which it changed. */
-export class StandingLog {
-    private readonly placed = new Map<string, Placed>();
+/** The list sent to entries, with the order of its changes. */
+export class QuarantineChangeLog {
+    private readonly requests = new Map<string, VersionedRequest>();
     private removals: { readonly fingerprint: string; readonly position: number; }[] = [];
-    private floor = 0;
+    private oldestPosition = 0;
 
-    /** `newest`: position of the last change before. */
-    public constructor(private newest = 0) {}
+    /** `latestPosition`: position of the last change before this log began. */
+    public constructor(private latestPosition = 0) {}
 
     public get position(): number {
-        return this.newest;
+        return this.latestPosition;
     }
 
     public get isEmpty(): boolean {
-        return this.placed.size === 0;
+        return this.requests.size === 0;
     }
 
     public get(fingerprint: string): ListedRequest | undefined {
-        return this.placed.get(fingerprint)?.request;
+        return this.requests.get(fingerprint)?.request;
     }
 
     public all(): ListedRequest[] {
-        return [...this.placed.values()].map(({ request }) => request);
+        return [...this.requests.values()].map(({ request }) => request);
     }
 
-    /** Something else that entries are told has changed. */
-    public touch(): void {
-        this.newest += 1;
+    /** Records a change of something else that is sent to entries. */
+    public advance(): void {
+        this.latestPosition += 1;
     }
 
     public put(request: ListedRequest): void {
-        const before = this.get(request.fingerprint);
-        if (before?.standing !== request.standing || before.occasions !== request.occasions) {
-            this.newest += 1;
-            this.placed.set(request.fingerprint, { request, position: this.newest });
+        const previous = this.get(request.fingerprint);
+        if (previous?.standing !== request.standing || previous.occasions !== request.occasions) {
+            this.latestPosition += 1;
+            this.requests.set(request.fingerprint, { request, position: this.latestPosition });
         }
     }
 
     public remove(fingerprint: string): void {
-        if (!this.placed.delete(fingerprint)) {
+        if (!this.requests.delete(fingerprint)) {
             return;
         }
-        this.newest += 1;
-        this.removals.push({ fingerprint, position: this.newest });
-        while (this.removals.length > rememberedRemovals) {
-            this.floor = this.removals.shift()!.position;
+        this.latestPosition += 1;
+        this.removals.push({ fingerprint, position: this.latestPosition });
+        while (this.removals.length > maxRemovals) {
+            this.oldestPosition = this.removals.shift()!.position;
         }
     }
 
-    /** A position that was never reached here is another log's: everything is told. */
+    /** Returns the complete list for a position that is too old or belongs to another log. */
     public since(position: number): QuarantineChanges {
-        const whole = position < this.floor || position > this.newest || position === 0;
-        const isNews = (at: { readonly position: number; }) => whole || at.position > position;
+        const whole = position < this.oldestPosition || position > this.latestPosition || position === 0;
+        const isNewer = (at: { readonly position: number; }) => whole || at.position > position;
         return {
-            position: this.newest,
+            position: this.latestPosition,
             whole,
-            listed: [...this.placed.values()].filter(isNews).map(({ request }) => request),
-            removed: whole ? [] : this.removals.filter(isNews).map(({ fingerprint }) => fingerprint),
+            listed: [...this.requests.values()].filter(isNewer).map(({ request }) => request),
+            removed: whole ? [] : this.removals.filter(isNewer).map(({ fingerprint }) => fingerprint),
         };
     }
 }
