--- a/packages/quarantine/src/suspicions.ts
+++ b/packages/quarantine/src/suspicions.ts
@@ -1,195 +1,205 @@
 /**
- * Under which request upstreams end: dozens run at one that ends, and one of them may be the cause. Each that had
- * just begun is suspected; one that is there on three occasions is taken for the cause, and what is explained by it
- * counts against nobody else.
+ * Determines which request crashes upstreams, out of the many that run at each. Every request that had just begun is a
+ * suspect; one that is present on three occasions counts as the cause, and crashes that it explains no longer
+ * count against others. Crashes that may share an external cause count as one occasion together.
  */
 import Type, { type Static } from "typebox";
 import { type Suspect } from "./commands.js";
 
 /**
- * Upstreams that may end under one request before it goes to no other by itself: a second try saves the many that
- * ran beside the cause, a third would be made within milliseconds, before any entry could know.
+ * Upstreams that may crash while running a request before it is no longer retried automatically. One retry serves the
+ * harmless requests that ran beside the cause; a second would follow within milliseconds, before entries know of the
+ * crash.
  */
 export const mostEndsOfOneRequest = 2;
-/** Occasions that make a suspect the cause: fewer happen to a request that is merely repeated while upstreams fail. */
+/**
+ * Occasions from which a suspect counts as the cause; harmless requests that are repeated during failures reach fewer.
+ */
 export const occasionsToBar = 3;
 /**
- * Two that were there on all the same occasions can't be told apart; from this many on both count as the cause. A
- * fourth or fifth upstream is the price of not refusing a bystander on each doubt.
+ * Requests that were present on all the same occasions can't be told apart; from this many on, all of them count as the
+ * cause. Waiting for more crashes avoids refusing harmless requests.
  */
 const occasionsToBarAll = 5;
 /**
- * Times of two reports may be off by this much, in milliseconds: a message takes a few, and a busy process some more.
- * A second try is sent within a millisecond of the end before it.
+ * Tolerance when comparing times from two reports, in milliseconds, for message delays and busy processes. A retry may
+ * be sent within a millisecond of a crash.
  */
-const reportSlackMs = 25;
+const timingToleranceMs = 25;
 /**
- * Ends within this time of each other may have one cause outside, such as the power of a rack, in milliseconds: its
- * upstreams end within some ten, and two reports may be off by {@link reportSlackMs} each. Each then counts as one of
- * so many: innocent requests aren't held back because half of the upstreams went dark three times.
+ * Crashes within this time of each other may share an external cause, such as a power failure of a rack, in
+ * milliseconds: the crashes are spread over some 10 ms, and each report may be off by {@link timingToleranceMs}. Such
+ * crashes are weighted to count as one, so that harmless requests aren't barred after repeated outages.
  */
-const togetherMs = 75;
-/** Ends are ordered and summed as fractions; sums may be off by less than this. */
-const rounding = 1e-9;
-/** Ends that are remembered; the oldest give way. Only upstreams that really end take places here. */
-const mostEnds = 256;
-/** Requests that are noted at one end: more than run and wait at one upstream. */
-const mostSuspects = 512;
+const correlationWindowMs = 75;
+/** Tolerance for rounding errors in sums of weights. */
+const weightTolerance = 1e-9;
+/** Bound on the crashes kept; the oldest are evicted. */
+const maxCrashes = 256;
+/** Bound on the suspects kept per crash; more than an upstream runs and queues at once. */
+const maxSuspectsPerCrash = 512;
 
-/** One incarnation of an upstream that has ended. */
-interface End {
-    /** Milliseconds since the epoch, by the leader's clock. */
+/** A crash of one incarnation of an upstream. */
+interface Crash {
+    /** Milliseconds since the Unix epoch, by the leader's clock. */
     readonly at: number;
-    readonly suspects: Map<string, Presence>;
-    /** The request that it is put down to. */
+    readonly suspects: Map<string, SuspectRecord>;
+    /** The request that the crash is attributed to. */
     cause: string | undefined;
 }
 
-/** A request at an upstream that ended. */
-interface Presence {
+/** A request that was running at an upstream when it crashed. */
+interface SuspectRecord {
     readonly size: number;
-    /** Milliseconds since the epoch, by the leader's clock; of several copies, the last one. */
+    /** Milliseconds since the Unix epoch, by the leader's clock; of several copies, the latest. */
     readonly sentAt: number;
 }
 
-/** A request that is suspected, or taken for the cause. */
-export interface Cause {
+/** A request that is suspected, or that counts as the cause. */
+export interface CrashSuspect {
     readonly fingerprint: string;
     readonly size: number;
     readonly occasions: number;
 }
 
-/** An end, as it is kept on disk. */
-export const StoredEnd = Type.Object({
+/** Stored form of a crash. */
+export const StoredCrash = Type.Object({
     upstream: Type.String(),
     at: Type.Number(),
     suspects: Type.Array(Type.Object({ fingerprint: Type.String(), size: Type.Integer(), sentAt: Type.Number() })),
     cause: Type.Optional(Type.String()),
 });
-export type StoredEnd = Static<typeof StoredEnd>;
+export type StoredCrash = Static<typeof StoredCrash>;
 
-/** What is told of an end; times in milliseconds since the epoch. */
-export interface ToldEnd {
+/** Report of a crash; times in milliseconds since the Unix epoch. */
+export interface CrashRecord {
     readonly upstream: string;
     readonly at: number;
-    readonly toldAt: number;
+    readonly reportedAt: number;
     readonly suspects: readonly Suspect[];
 }
 
-/** Requests that are held back now, or were. */
-export interface HeldRequests {
+/** Requests that are barred or on probation. */
+export interface QuarantinedRequests {
     readonly barred: () => string[];
     readonly isBarred: (fingerprint: string) => boolean;
     readonly isOnProbation: (fingerprint: string) => boolean;
 }
 
-/** What follows from an end. */
-export interface Judgement {
-    /** Taken for the cause from now on. */
-    readonly causes: readonly Cause[];
-    /** Barred before; their ends turn out to share the moment with others. */
-    readonly baseless: readonly string[];
+/** Result of evaluating a crash. */
+export interface AttributionResult {
+    /** Requests that count as the cause from now on. */
+    readonly causes: readonly CrashSuspect[];
+    /** Barred requests whose crashes turned out to coincide with others, so that the bar is no longer justified. */
+    readonly unfounded: readonly string[];
 }
 
-export class Suspicions {
-    /** By the upstream's id, oldest first. */
-    private readonly ends = new Map<string, End>();
+export class CrashAttribution {
+    /** By upstream id, oldest first. */
+    private readonly crashes = new Map<string, Crash>();
 
     /**
-     * Notes what ran at an upstream that ended, and judges all anew that this bears on. `held`: requests that are
-     * held back, or were; the end is put down to one of them where it can be.
+     * Records a crash and evaluates the suspects again. The crash is attributed to a request in `quarantined` if one of
+     * them was running.
      */
-    public note(told: ToldEnd, held: HeldRequests): Judgement {
-        const grounded = held.barred().filter(fingerprint =>
-            this.weightUnder(fingerprint) >= occasionsToBar - rounding
+    public recordCrash(report: CrashRecord, quarantined: QuarantinedRequests): AttributionResult {
+        const founded = quarantined.barred().filter(fingerprint =>
+            this.attributedWeight(fingerprint) >= occasionsToBar - weightTolerance
         );
-        const end = this.takeIn(told);
-        end.cause ??= [...end.suspects.keys()].find(held.isBarred) ?? [...end.suspects.keys()].find(held.isOnProbation);
-        const baseless = this.unbarred(grounded);
+        const crash = this.addCrash(report);
+        crash.cause ??= [...crash.suspects.keys()].find(quarantined.isBarred)
+            ?? [...crash.suspects.keys()].find(quarantined.isOnProbation);
+        const unfounded = this.revokeUnfounded(founded);
         this.dropOldest();
-        if (end.cause !== undefined) {
-            return { causes: [], baseless };
+        if (crash.cause !== undefined) {
+            return { causes: [], unfounded };
         }
-        const causes = [...end.suspects]
-            .filter(([fingerprint]) => this.isCause(fingerprint, end))
+        const causes = [...crash.suspects]
+            .filter(([fingerprint]) => this.isCause(fingerprint, crash))
             .map(([fingerprint, { size }]) => ({ fingerprint, size, occasions: this.occasions(fingerprint) }));
-        causes.forEach(({ fingerprint }) => this.putDownTo(fingerprint));
-        return { causes, baseless };
+        causes.forEach(({ fingerprint }) => this.attributeTo(fingerprint));
+        return { causes, unfounded };
     }
 
-    private takeIn({ upstream, at, toldAt, suspects }: ToldEnd): End {
-        const end = this.ends.get(upstream) ?? { at, suspects: new Map<string, Presence>(), cause: undefined };
-        this.ends.set(upstream, end);
-        for (const { fingerprint, size, sentAgoMs } of suspects.slice(0, mostSuspects - end.suspects.size)) {
-            const before = end.suspects.get(fingerprint)?.sentAt ?? Number.NEGATIVE_INFINITY;
-            end.suspects.set(fingerprint, { size, sentAt: Math.max(before, toldAt - sentAgoMs) });
+    private addCrash({ upstream, at, reportedAt, suspects }: CrashRecord): Crash {
+        const crash = this.crashes.get(upstream)
+            ?? { at, suspects: new Map<string, SuspectRecord>(), cause: undefined };
+        this.crashes.set(upstream, crash);
+        for (const { fingerprint, size, sentAgoMs } of suspects.slice(0, maxSuspectsPerCrash - crash.suspects.size)) {
+            const previous = crash.suspects.get(fingerprint)?.sentAt ?? Number.NEGATIVE_INFINITY;
+            crash.suspects.set(fingerprint, { size, sentAt: Math.max(previous, reportedAt - sentAgoMs) });
         }
-        return end;
+        return crash;
     }
 
-    /** Those that were barred on grounds that have gone: other upstreams turn out to have ended at the same moments. */
-    private unbarred(grounded: readonly string[]): string[] {
-        const baseless = grounded.filter(fingerprint => this.weightUnder(fingerprint) < occasionsToBar - rounding);
-        baseless.flatMap(fingerprint => this.endsUnder(fingerprint)).forEach(end => end.cause = undefined);
-        return baseless;
+    /**
+     * Returns barred requests whose crashes weigh too little now that correlated crashes are known, and clears the
+     * attributions.
+     */
+    private revokeUnfounded(founded: readonly string[]): string[] {
+        const unfounded = founded.filter(fingerprint =>
+            this.attributedWeight(fingerprint) < occasionsToBar - weightTolerance
+        );
+        unfounded.flatMap(fingerprint => this.attributedCrashes(fingerprint)).forEach(crash => crash.cause = undefined);
+        return unfounded;
     }
 
-    /** How much the ends that were put down to a request weigh. */
-    private weightUnder(fingerprint: string): number {
-        return weigh(fingerprint, this.endsUnder(fingerprint), this.ends.values());
+    /** Total weight of the crashes that are attributed to a request. */
+    private attributedWeight(fingerprint: string): number {
+        return totalWeight(fingerprint, this.attributedCrashes(fingerprint), this.crashes.values());
     }
 
-    private endsUnder(fingerprint: string): End[] {
-        return [...this.ends.values()].filter(({ cause }) => cause === fingerprint);
+    private attributedCrashes(fingerprint: string): Crash[] {
+        return [...this.crashes.values()].filter(({ cause }) => cause === fingerprint);
     }
 
-    /** Occasions on which upstreams ended under a request, and nothing else is known to be the cause. */
+    /** Number of occasions on which upstreams crashed while running a request, without another known cause. */
     public occasions(fingerprint: string): number {
-        return this.occasionsIn(fingerprint, this.endsOf(fingerprint));
+        return this.countOccasions(fingerprint, this.unexplainedCrashes(fingerprint));
     }
 
-    private occasionsIn(fingerprint: string, ends: readonly End[]): number {
-        return Math.floor(weigh(fingerprint, ends, this.ends.values()) + rounding);
+    private countOccasions(fingerprint: string, crashes: readonly Crash[]): number {
+        return Math.floor(totalWeight(fingerprint, crashes, this.crashes.values()) + weightTolerance);
     }
 
-    /** All that is suspected, with the occasions. */
-    public all(): Cause[] {
-        const open = [...this.ends.values()].filter(({ cause }) => cause === undefined);
-        const found = new Map<string, { size: number; ends: End[]; }>();
-        for (const end of open) {
-            for (const [fingerprint, { size }] of end.suspects) {
-                const { ends } = found.get(fingerprint) ?? { ends: [] };
-                found.set(fingerprint, { size, ends: [...ends, end] });
+    /** All suspects with their occasions. */
+    public all(): CrashSuspect[] {
+        const unexplained = [...this.crashes.values()].filter(({ cause }) => cause === undefined);
+        const found = new Map<string, { size: number; crashes: Crash[]; }>();
+        for (const crash of unexplained) {
+            for (const [fingerprint, { size }] of crash.suspects) {
+                const { crashes } = found.get(fingerprint) ?? { crashes: [] };
+                found.set(fingerprint, { size, crashes: [...crashes, crash] });
             }
         }
-        return [...found].map(([fingerprint, { size, ends }]) => ({
+        return [...found].map(([fingerprint, { size, crashes }]) => ({
             fingerprint,
             size,
-            occasions: this.occasionsIn(fingerprint, ends),
+            occasions: this.countOccasions(fingerprint, crashes),
         }));
     }
 
-    /** A request has come to a good end somewhere: it was no cause. */
+    /** Clears a request of suspicion after it completed successfully. */
     public clear(fingerprint: string): void {
-        for (const end of this.ends.values()) {
-            end.suspects.delete(fingerprint);
-            if (end.cause === fingerprint) {
-                end.cause = undefined;
+        for (const crash of this.crashes.values()) {
+            crash.suspects.delete(fingerprint);
+            if (crash.cause === fingerprint) {
+                crash.cause = undefined;
             }
         }
     }
 
-    /** Forgets ends from before a moment. */
-    public forgetBefore(at: number): void {
-        for (const [upstream, end] of this.ends) {
-            if (end.at < at) {
-                this.ends.delete(upstream);
+    /** Removes crashes before a time. */
+    public removeBefore(at: number): void {
+        for (const [upstream, crash] of this.crashes) {
+            if (crash.at < at) {
+                this.crashes.delete(upstream);
             }
         }
     }
 
-    public snapshot(): StoredEnd[] {
-        return [...this.ends].map(([upstream, { at, suspects, cause }]) => ({
+    public snapshot(): StoredCrash[] {
+        return [...this.crashes].map(([upstream, { at, suspects, cause }]) => ({
             upstream,
             at,
             suspects: [...suspects].map(([fingerprint, { size, sentAt }]) => ({ fingerprint, size, sentAt })),
@@ -197,102 +207,105 @@
         }));
     }
 
-    public restore(ends: readonly StoredEnd[]): void {
-        this.ends.clear();
-        for (const { upstream, at, suspects, cause } of ends) {
-            const present = suspects.map(({ fingerprint, size, sentAt }) => [fingerprint, { size, sentAt }] as const);
-            this.ends.set(upstream, { at, suspects: new Map(present), cause });
+    public restore(stored: readonly StoredCrash[]): void {
+        this.crashes.clear();
+        for (const { upstream, at, suspects, cause } of stored) {
+            const records = suspects.map(({ fingerprint, size, sentAt }) => [fingerprint, { size, sentAt }] as const);
+            this.crashes.set(upstream, { at, suspects: new Map(records), cause });
         }
     }
 
-    private isCause(fingerprint: string, latest: End): boolean {
-        const ends = this.endsOf(fingerprint);
-        const occasions = this.occasionsIn(fingerprint, ends);
+    private isCause(fingerprint: string, latest: Crash): boolean {
+        const crashes = this.unexplainedCrashes(fingerprint);
+        const occasions = this.countOccasions(fingerprint, crashes);
         if (occasions < occasionsToBar) {
             return false;
         }
-        return occasions >= occasionsToBarAll || !this.hasRival(fingerprint, ends, latest);
+        return occasions >= occasionsToBarAll || !this.hasAlternative(fingerprint, crashes, latest);
     }
 
     /**
-     * Whether another request was there each time as well, or all times but one where there were as few as it takes: a
-     * prompt that is asked often stands beside two ends of one guilty request before that one has its third.
+     * Whether another request was present at the same crashes, or at all but one while there are only as many as needed
+     * for a bar: a frequent harmless request can be present at two crashes of the real cause before that reaches its
+     * third.
      */
-    private hasRival(fingerprint: string, ends: readonly End[], latest: End): boolean {
-        const needed = ends.length - (ends.length <= occasionsToBar ? 1 : 0);
+    private hasAlternative(fingerprint: string, crashes: readonly Crash[], latest: Crash): boolean {
+        const needed = crashes.length - (crashes.length <= occasionsToBar ? 1 : 0);
         return [...latest.suspects.keys()].some(other =>
-            other !== fingerprint && ends.filter(({ suspects }) => suspects.has(other)).length >= needed
+            other !== fingerprint && crashes.filter(({ suspects }) => suspects.has(other)).length >= needed
         );
     }
 
-    private putDownTo(fingerprint: string): void {
-        for (const end of this.endsOf(fingerprint)) {
-            end.cause = fingerprint;
+    private attributeTo(fingerprint: string): void {
+        for (const crash of this.unexplainedCrashes(fingerprint)) {
+            crash.cause = fingerprint;
         }
     }
 
-    private endsOf(fingerprint: string): End[] {
-        return [...this.ends.values()].filter(({ suspects, cause }) =>
+    private unexplainedCrashes(fingerprint: string): Crash[] {
+        return [...this.crashes.values()].filter(({ suspects, cause }) =>
             cause === undefined && suspects.has(fingerprint)
         );
     }
 
     private dropOldest(): void {
-        const [oldest] = this.ends.keys();
-        if (this.ends.size > mostEnds) {
-            this.ends.delete(oldest);
+        const [oldest] = this.crashes.keys();
+        if (this.crashes.size > maxCrashes) {
+            this.crashes.delete(oldest);
         }
     }
 }
 
 /**
- * How often a request was sent, and ended an upstream, after all of its earlier ends: copies that run at once may
- * have ended by one cause outside. `all`: the ends that may share a moment with one of `ends`.
+ * Number of crashes that count against a request. Of copies that run at the same time only one counts, since they may
+ * have an external cause in common, and correlated crashes share their weight. `all`: all crashes that may be
+ * correlated with those in `crashes`.
  */
-function weigh(fingerprint: string, ends: readonly End[], all: Iterable<End>): number {
-    const counted = inSequence(fingerprint, ends);
+function totalWeight(fingerprint: string, crashes: readonly Crash[], all: Iterable<Crash>): number {
+    const counted = sequentialCrashes(fingerprint, crashes);
     if (counted.length < 2) {
         return counted.length;
     }
     const known = [...all];
-    return counted.reduce((sum, end) => sum + 1 / sharersOf(fingerprint, end, known), 0);
+    return counted.reduce((sum, crash) => sum + 1 / countCorrelated(fingerprint, crash, known), 0);
 }
 
-/** Of the ends of a request, oldest first, those that it was sent after the one before. */
-function inSequence(fingerprint: string, ends: readonly End[]): End[] {
-    const counted: End[] = [];
-    for (const end of [...ends].sort((a, b) => a.at - b.at)) {
-        const before = counted.at(-1);
-        if (before === undefined || follows(fingerprint, end, before)) {
-            counted.push(end);
+/** Crashes of a request, oldest first, whose upstream received it after the previous one of them. */
+function sequentialCrashes(fingerprint: string, crashes: readonly Crash[]): Crash[] {
+    const counted: Crash[] = [];
+    for (const crash of [...crashes].sort((a, b) => a.at - b.at)) {
+        const previous = counted.at(-1);
+        if (previous === undefined || sentAfter(fingerprint, crash, previous)) {
+            counted.push(crash);
         }
     }
     return counted;
 }
 
-/** Whether a request was sent to the upstream of one end after the other end. */
-function follows(fingerprint: string, end: End, before: End): boolean {
-    return end.suspects.get(fingerprint)!.sentAt > before.at - reportSlackMs;
+/** Whether a request was sent to the crashed upstream after the previous crash. */
+function sentAfter(fingerprint: string, crash: Crash, previous: Crash): boolean {
+    return crash.suspects.get(fingerprint)!.sentAt > previous.at - timingToleranceMs;
 }
 
 /**
- * Ends that share the moment of one, itself among them: not those that another request is known to have caused, and
- * not those that the request itself went on to or came from.
+ * Number of crashes that coincide with a crash, including itself. Crashes attributed to other requests don't count, nor
+ * those that the same request caused before or after as it was retried.
  */
-function sharersOf(fingerprint: string, end: End, all: readonly End[]): number {
+function countCorrelated(fingerprint: string, crash: Crash, all: readonly Crash[]): number {
     return all.filter(other => {
-        if (other === end) {
+        if (other === crash) {
             return true;
         }
         const isExplained = other.cause !== undefined && other.cause !== fingerprint;
-        return !isExplained && Math.abs(other.at - end.at) <= togetherMs && !areInSequence(fingerprint, end, other);
+        return !isExplained && Math.abs(other.at - crash.at) <= correlationWindowMs
+            && !areInSequence(fingerprint, crash, other);
     }).length;
 }
 
-function areInSequence(fingerprint: string, one: End, other: End): boolean {
+function areInSequence(fingerprint: string, one: Crash, other: Crash): boolean {
     if (!other.suspects.has(fingerprint)) {
         return false;
     }
     const [earlier, later] = one.at <= other.at ? [one, other] : [other, one];
-    return follows(fingerprint, later, earlier);
+    return sentAfter(fingerprint, later, earlier);
 }
--- a/packages/quarantine/src/tests/crashbooks.test.ts
+++ b/packages/quarantine/src/tests/crashbooks.test.ts
@@ -4,148 +4,148 @@
 
 const hourMs = 3_600_000;
 
-/** A fleet whose upstreams end at set times, under requests that were sent shortly before. */
+/** Applies crashes at given times, with requests that were sent shortly before. */
 class Fleet {
-    public readonly book = new CrashBook();
-    private ends = 0;
+    public readonly state = new CrashBook();
+    private crashes = 0;
 
-    /** `runMs`: how long before the end the requests were sent. */
-    public end(at: number, fingerprints: readonly string[], runMs = 50, upstream = `u${++this.ends}`): void {
+    /** `runMs`: time from sending the requests to the crash. */
+    public crash(at: number, fingerprints: readonly string[], runMs = 50, upstream = `u${++this.crashes}`): void {
         const suspects: Suspect[] = fingerprints.map(fingerprint => ({ fingerprint, size: 3, sentAgoMs: runMs }));
-        this.book.apply({ kind: "upstream-ended", upstream, agoMs: 0, suspects }, { time: at });
+        this.state.apply({ kind: "upstream-ended", upstream, agoMs: 0, suspects }, { time: at });
     }
 
     public clear(...fingerprints: string[]): void {
-        this.book.apply({ kind: "cleared", fingerprints }, { time: 0 });
+        this.state.apply({ kind: "cleared", fingerprints }, { time: 0 });
     }
 
     public standing(fingerprint: string): string | undefined {
-        return this.book.standingOf(fingerprint)?.standing;
+        return this.state.standingOf(fingerprint)?.standing;
     }
 }
 
-describe("the book of ends", () => {
-    it("suspects a request under which two upstreams ended, and bars it at the third", () => {
+describe("the quarantine state", () => {
+    it("suspects a request after two crashes, and bars it after the third", () => {
         const fleet = new Fleet();
         const seen = [0, 1000, 2000].map((at, index) => {
-            fleet.end(at, ["deadly", `bystander ${index}`]);
+            fleet.crash(at, ["deadly", `bystander ${index}`]);
             return fleet.standing("deadly");
         });
         expect(seen).toEqual([undefined, "suspected", "barred"]);
     });
 
-    it("takes ends under copies that ran at once for one occasion", () => {
+    it("counts crashes under concurrent copies as one occasion", () => {
         const fleet = new Fleet();
-        fleet.end(1000, ["copied"], 300);
-        fleet.end(1005, ["copied"], 300);
-        fleet.end(1010, ["copied"], 300);
+        fleet.crash(1000, ["copied"], 300);
+        fleet.crash(1005, ["copied"], 300);
+        fleet.crash(1010, ["copied"], 300);
         expect(fleet.standing("copied")).toEqual(undefined);
     });
 
-    it("counts a second try that was made within a millisecond of the end before it", () => {
+    it("counts a retry sent within a millisecond of the previous crash", () => {
         const fleet = new Fleet();
-        fleet.end(1000, ["deadly"], 40);
-        fleet.end(1040, ["deadly"], 40);
+        fleet.crash(1000, ["deadly"], 40);
+        fleet.crash(1040, ["deadly"], 40);
         expect(fleet.standing("deadly")).toEqual("suspected");
     });
 
-    it("doesn't tell two apart that were there each time, until the fifth", () => {
+    it("bars neither of two requests that were present each time until the fifth crash, and then both", () => {
         const fleet = new Fleet();
         const seen = [0, 1000, 2000, 3000, 4000].map(at => {
-            fleet.end(at, ["one", "two"]);
+            fleet.crash(at, ["one", "two"]);
             return [fleet.standing("one"), fleet.standing("two")];
         });
         expect(seen[3]).toEqual(["suspected", "suspected"]);
         expect(seen[4]).toEqual(["barred", "barred"]);
     });
 
-    it("bars the one of two that ends an upstream alone, and forgets the other", () => {
+    it("bars the one of two that crashes an upstream alone, and clears the other", () => {
         const fleet = new Fleet();
-        [0, 1000, 2000].forEach(at => fleet.end(at, ["deadly", "beside"]));
-        fleet.end(3000, ["deadly"]);
+        [0, 1000, 2000].forEach(at => fleet.crash(at, ["deadly", "beside"]));
+        fleet.crash(3000, ["deadly"]);
         expect([fleet.standing("deadly"), fleet.standing("beside")]).toEqual(["barred", undefined]);
     });
 
-    it("puts an end under a barred request down to that one alone", () => {
+    it("attributes a crash under a barred request to that request only", () => {
         const fleet = new Fleet();
-        [0, 1000, 2000].forEach(at => fleet.end(at, ["deadly"]));
-        [3000, 4000, 5000, 6000].forEach(at => fleet.end(at, ["deadly", "beside"]));
+        [0, 1000, 2000].forEach(at => fleet.crash(at, ["deadly"]));
+        [3000, 4000, 5000, 6000].forEach(at => fleet.crash(at, ["deadly", "beside"]));
         expect(fleet.standing("beside")).toEqual(undefined);
     });
 
-    it("takes what is told later of an end into it", () => {
+    it("adds later reports to the same crash", () => {
         const fleet = new Fleet();
-        fleet.end(0, ["a"], 50, "same");
-        fleet.end(10, ["deadly"], 60, "same");
-        fleet.end(1000, ["deadly"]);
-        fleet.end(2000, ["deadly"]);
+        fleet.crash(0, ["a"], 50, "same");
+        fleet.crash(10, ["deadly"], 60, "same");
+        fleet.crash(1000, ["deadly"]);
+        fleet.crash(2000, ["deadly"]);
         expect(fleet.standing("deadly")).toEqual("barred");
     });
 
-    it("lets a request go that came to a good end, also a barred one", () => {
+    it("clears a request that completed successfully, even if it is barred", () => {
         const fleet = new Fleet();
-        [0, 1000].forEach(at => fleet.end(at, ["good"]));
+        [0, 1000].forEach(at => fleet.crash(at, ["good"]));
         fleet.clear("good");
-        fleet.end(2000, ["good"]);
+        fleet.crash(2000, ["good"]);
         expect(fleet.standing("good")).toEqual(undefined);
-        [3000, 4000].forEach(at => fleet.end(at, ["good"]));
+        [3000, 4000].forEach(at => fleet.crash(at, ["good"]));
         expect(fleet.standing("good")).toEqual("barred");
         fleet.clear("good");
         expect(fleet.standing("good")).toEqual(undefined);
     });
 
-    it("forgets ends after ten minutes", () => {
+    it("ignores crashes older than ten minutes", () => {
         const fleet = new Fleet();
-        [0, 1000, 700_000].forEach(at => fleet.end(at, ["rare"]));
+        [0, 1000, 700_000].forEach(at => fleet.crash(at, ["rare"]));
         expect(fleet.standing("rare")).toEqual(undefined);
     });
 
     describe("a barred request", () => {
-        it("is let in on probation after ten minutes, and held back again by one more end, for longer", () => {
+        it("is on probation after ten minutes, and barred for longer by one more crash", () => {
             const fleet = new Fleet();
-            [0, 1000, 2000].forEach(at => fleet.end(at, ["deadly"]));
-            fleet.book.apply({ kind: "expire" }, { time: 500_000 });
+            [0, 1000, 2000].forEach(at => fleet.crash(at, ["deadly"]));
+            fleet.state.apply({ kind: "expire" }, { time: 500_000 });
             expect(fleet.standing("deadly")).toEqual("barred");
-            fleet.book.apply({ kind: "expire" }, { time: 603_000 });
+            fleet.state.apply({ kind: "expire" }, { time: 603_000 });
             expect(fleet.standing("deadly")).toEqual("suspected");
-            fleet.end(700_000, ["deadly", "beside"]);
+            fleet.crash(700_000, ["deadly", "beside"]);
             expect([fleet.standing("deadly"), fleet.standing("beside")]).toEqual(["barred", undefined]);
-            fleet.book.apply({ kind: "expire" }, { time: 1_800_000 });
+            fleet.state.apply({ kind: "expire" }, { time: 1_800_000 });
             expect(fleet.standing("deadly")).toEqual("barred");
-            fleet.book.apply({ kind: "expire" }, { time: 2_000_000 });
-            fleet.book.apply({ kind: "expire" }, { time: 2_000_000 + hourMs });
+            fleet.state.apply({ kind: "expire" }, { time: 2_000_000 });
+            fleet.state.apply({ kind: "expire" }, { time: 2_000_000 + hourMs });
             expect(fleet.standing("deadly")).toEqual(undefined);
         });
 
-        it("outlives a snapshot, with what is only suspected", () => {
+        it("is restored from a snapshot, as are suspects", () => {
             const fleet = new Fleet();
-            [0, 1000, 2000].forEach(at => fleet.end(at, ["deadly"]));
-            [3000, 4000].forEach(at => fleet.end(at, ["suspect"]));
+            [0, 1000, 2000].forEach(at => fleet.crash(at, ["deadly"]));
+            [3000, 4000].forEach(at => fleet.crash(at, ["suspect"]));
             const restored = new CrashBook();
-            restored.restore(JSON.parse(JSON.stringify(fleet.book.snapshot())));
+            restored.restore(JSON.parse(JSON.stringify(fleet.state.snapshot())));
             const standings = ["deadly", "suspect"].map(one => restored.standingOf(one)?.standing);
             expect(standings).toEqual(["barred", "suspected"]);
         });
     });
 
-    it("keeps a bounded number of each, whatever ends", () => {
+    it("bounds the size of its state", () => {
         const fleet = new Fleet();
         for (let index = 0; index < 3000; index++) {
             const at = index * 10;
-            fleet.end(at, Array.from({ length: 20 }, (_, other) => `${index}-${other}`));
+            fleet.crash(at, Array.from({ length: 20 }, (_, other) => `${index}-${other}`));
         }
-        const bytes = JSON.stringify(fleet.book.snapshot()).length;
+        const bytes = JSON.stringify(fleet.state.snapshot()).length;
         expect(bytes).toBeLessThan(1_000_000);
     });
 
-    it("tells an entry what changed since a position, and everything where that isn't known", () => {
+    it("gives the changes since a position, and the complete list for an unknown position", () => {
         const fleet = new Fleet();
-        [0, 1000, 2000].forEach(at => fleet.end(at, ["deadly"]));
-        const { position } = fleet.book;
-        [3000, 4000].forEach(at => fleet.end(at, ["suspect"]));
-        expect(fleet.book.since(position).listed.map(({ fingerprint }) => fingerprint)).toEqual(["suspect"]);
+        [0, 1000, 2000].forEach(at => fleet.crash(at, ["deadly"]));
+        const { position } = fleet.state;
+        [3000, 4000].forEach(at => fleet.crash(at, ["suspect"]));
+        expect(fleet.state.since(position).listed.map(({ fingerprint }) => fingerprint)).toEqual(["suspect"]);
         fleet.clear("deadly");
-        expect(fleet.book.since(position).removed).toEqual(["deadly"]);
-        expect(fleet.book.since(10_000).whole).toEqual(true);
+        expect(fleet.state.since(position).removed).toEqual(["deadly"]);
+        expect(fleet.state.since(10_000).whole).toEqual(true);
     });
 });
--- a/packages/quarantine/src/tests/fleets.ts
+++ b/packages/quarantine/src/tests/fleets.ts
@@ -1,11 +1,11 @@
-/** A fleet in memory whose upstreams end under guilty requests, or for reasons of their own. */
+/** Simulates a fleet whose upstreams crash under certain requests or independently of requests. */
 import { mock } from "node:test";
 import { unsafeUniformIntDistribution, xoroshiro128plus } from "pure-rand";
 import { CrashBook, GoodEnds, type Suspect } from "../index.js";
 
-export const upstreams = 8;
-/** A guilty request ends its upstream after this long, in milliseconds. */
-const fuseMs = 50;
+export const upstreamCount = 8;
+/** Time from the start of a crashing request to the crash, in milliseconds. */
+const crashDelayMs = 50;
 
 interface Run {
     readonly request: string;
@@ -13,27 +13,27 @@
     readonly endsAt: number;
 }
 
-/** Numbers from 0 to 1, without 1, that follow from a seed. */
-export function drawsOf(seed: number): () => number {
+/** Random numbers in [0, 1) from a seed. */
+export function seededRandom(seed: number): () => number {
     const generator = xoroshiro128plus(seed);
-    const fineness = 2 ** 30;
-    return () => unsafeUniformIntDistribution(0, fineness - 1, generator) / fineness;
+    const resolution = 2 ** 30;
+    return () => unsafeUniformIntDistribution(0, resolution - 1, generator) / resolution;
 }
 
 export class Fleet {
-    public readonly book = new CrashBook();
+    public readonly state = new CrashBook();
     public readonly refused = new Map<string, number>();
-    /** Upstreams that ended under each guilty request. */
-    public readonly lost = new Map<string, number>();
-    private readonly good = new GoodEnds();
-    private readonly runs = new Map<number, Run[]>(Array.from({ length: upstreams }, (_, at) => [at, []]));
+    /** Number of crashes by crashing request. */
+    public readonly crashes = new Map<string, number>();
+    private readonly successful = new GoodEnds();
+    private readonly runs = new Map<number, Run[]>(Array.from({ length: upstreamCount }, (_, at) => [at, []]));
     private incarnations = 0;
     private now = 0;
 
-    /** `shortestMs`, `longestMs`: how long an innocent request runs. */
+    /** `shortestMs`, `longestMs`: duration of harmless requests. */
     public constructor(
-        private readonly draw: () => number,
-        private readonly guilty: ReadonlySet<string>,
+        private readonly random: () => number,
+        private readonly crashing: ReadonlySet<string>,
         private readonly shortestMs = 100,
         private readonly longestMs = 1600,
     ) {}
@@ -42,50 +42,50 @@
         this.now = now;
         mock.timers.setTime(now);
         for (const [at, runs] of this.runs) {
-            this.settle(at, runs);
+            this.completeRuns(at, runs);
         }
     }
 
     public send(request: string): void {
-        if (this.book.standingOf(request)?.standing === "barred") {
+        if (this.state.standingOf(request)?.standing === "barred") {
             this.refused.set(request, (this.refused.get(request) ?? 0) + 1);
             return;
         }
-        const at = Math.floor(this.draw() * upstreams);
-        const endsAt = this.now + (this.guilty.has(request) ? fuseMs : this.innocentMs());
+        const at = Math.floor(this.random() * upstreamCount);
+        const endsAt = this.now + (this.crashing.has(request) ? crashDelayMs : this.harmlessMs());
         this.runs.get(at)!.push({ request, sentAt: this.now, endsAt });
     }
 
-    private innocentMs(): number {
-        return this.shortestMs + this.draw() * (this.longestMs - this.shortestMs);
+    private harmlessMs(): number {
+        return this.shortestMs + this.random() * (this.longestMs - this.shortestMs);
     }
 
-    /** `agoMs`: how long before now it ended. */
+    /** `agoMs`: time since the crash. */
     public crash(at: number, agoMs = 0): void {
         const suspects = this.runs.get(at)!
-            .filter(({ request, sentAt }) => !this.good.has(request) && sentAt <= this.now - agoMs)
+            .filter(({ request, sentAt }) => !this.successful.has(request) && sentAt <= this.now - agoMs)
             .map(({ request, sentAt }): Suspect => ({ fingerprint: request, size: 1, sentAgoMs: this.now - sentAt }));
         this.runs.set(at, []);
         this.incarnations += 1;
         const command = { kind: "upstream-ended", upstream: `u${this.incarnations}`, agoMs, suspects };
-        this.book.apply(command, { time: this.now });
+        this.state.apply(command, { time: this.now });
     }
 
-    private settle(at: number, runs: readonly Run[]): void {
-        const killer = runs.find(({ request, endsAt }) => this.guilty.has(request) && endsAt <= this.now);
-        if (killer !== undefined) {
-            this.lost.set(killer.request, (this.lost.get(killer.request) ?? 0) + 1);
+    private completeRuns(at: number, runs: readonly Run[]): void {
+        const fatal = runs.find(({ request, endsAt }) => this.crashing.has(request) && endsAt <= this.now);
+        if (fatal !== undefined) {
+            this.crashes.set(fatal.request, (this.crashes.get(fatal.request) ?? 0) + 1);
             this.crash(at);
             return;
         }
-        runs.filter(({ endsAt }) => endsAt <= this.now).forEach(({ request }) => this.endWell(request));
+        runs.filter(({ endsAt }) => endsAt <= this.now).forEach(({ request }) => this.recordSuccess(request));
         this.runs.set(at, runs.filter(({ endsAt }) => endsAt > this.now));
     }
 
-    private endWell(request: string): void {
-        this.good.note(request);
-        if (this.book.standingOf(request) !== undefined) {
-            this.book.apply({ kind: "cleared", fingerprints: [request] }, { time: this.now });
+    private recordSuccess(request: string): void {
+        this.successful.note(request);
+        if (this.state.standingOf(request) !== undefined) {
+            this.state.apply({ kind: "cleared", fingerprints: [request] }, { time: this.now });
         }
     }
 }
--- a/packages/quarantine/src/tests/kinds.test.ts
+++ b/packages/quarantine/src/tests/kinds.test.ts
@@ -1,85 +1,84 @@
 /**
- * A share of one kind of request ends each upstream that runs it, for some seconds, and each of them comes back:
- * dozens of guilty requests at a time in place of one. Each is held back after as few ends as one alone, and none of the others
- * of its kind is.
+ * Simulates periods in which a share of one kind of request crashes its upstream and is retried, so that dozens of
+ * crashing requests exist at once. Each must be barred after few crashes, and no harmless request of the kind may be.
  */
 import { expect } from "earl";
 import fc from "fast-check";
 import { afterEach, beforeEach, describe, it, mock } from "node:test";
 import { occasionsToBar } from "../index.js";
-import { drawsOf, Fleet } from "./fleets.js";
+import { Fleet, seededRandom } from "./fleets.js";
 
 const steps = 400;
 const stepMs = 100;
-/** Requests of the kind in a step. */
+/** Requests of the kind per step. */
 const perStep = 2;
-/** A guilty one comes so many times, as long as nobody tells its caller that it is held back. */
-const returns = 8;
-/** Steps until it comes again: a caller that goes by what it is told, and one that doesn't. */
-const shortestReturn = 3;
-const longestReturn = 15;
+/** Number of times a crashing request is sent. */
+const attempts = 8;
+/** Steps until a retry: with callers that respect the retry delay, and with ones that don't. */
+const minRetrySteps = 3;
+const maxRetrySteps = 15;
 
-/** Innocent ones that come again and again, each about once a second. */
+/** Frequent harmless requests, each sent about once per second. */
 const prompts = ["asked each second", "and another"];
 const promptShare = 0.1;
 
-interface Span {
+interface FaultyPeriod {
     readonly from: number;
     readonly to: number;
     readonly share: number;
 }
 
-/** Twice in a day, a few in a hundred of the kind are guilty. */
-function spansOf(draw: () => number): Span[] {
+/** Two periods in which a few percent of the requests crash their upstream. */
+function createFaultyPeriods(random: () => number): FaultyPeriod[] {
     return [0, 1].map(half => {
-        const from = (half + draw() * 0.5) * (steps / 2);
-        return { from, to: from + 50 + draw() * 50, share: 0.01 + draw() * 0.04 };
+        const from = (half + random() * 0.5) * (steps / 2);
+        return { from, to: from + 50 + random() * 50, share: 0.01 + random() * 0.04 };
     });
 }
 
-function play(seed: number): Fleet {
-    const draw = drawsOf(seed);
-    const spans = spansOf(draw);
-    const guilty = new Set<string>();
+function simulate(seed: number): Fleet {
+    const random = seededRandom(seed);
+    const periods = createFaultyPeriods(random);
+    const crashing = new Set<string>();
     const due = new Map<number, string[]>();
-    const fleet = new Fleet(draw, guilty);
+    const fleet = new Fleet(random, crashing);
     for (let step = 1; step <= steps; step++) {
         fleet.step(step * stepMs);
         for (let number = 0; number < perStep; number++) {
             const request = `${step}-${number}`;
-            const span = spans.find(({ from, to }) => from <= step && step < to);
-            if (span !== undefined && draw() < span.share) {
-                guilty.add(request);
-                comeBack(due, request, step, draw);
+            const period = periods.find(({ from, to }) => from <= step && step < to);
+            if (period !== undefined && random() < period.share) {
+                crashing.add(request);
+                scheduleRetries(due, request, step, random);
             }
             fleet.send(request);
         }
         due.get(step)?.forEach(request => fleet.send(request));
-        prompts.filter(() => draw() < promptShare).forEach(request => fleet.send(request));
+        prompts.filter(() => random() < promptShare).forEach(request => fleet.send(request));
     }
     return fleet;
 }
 
-function comeBack(due: Map<number, string[]>, request: string, step: number, draw: () => number): void {
+function scheduleRetries(due: Map<number, string[]>, request: string, step: number, random: () => number): void {
     let at = step;
-    for (let time = 1; time < returns; time++) {
-        at += shortestReturn + Math.floor(draw() * (longestReturn - shortestReturn));
+    for (let time = 1; time < attempts; time++) {
+        at += minRetrySteps + Math.floor(random() * (maxRetrySteps - minRetrySteps));
         due.set(at, [...due.get(at) ?? [], request]);
     }
 }
 
-describe("a kind of request of which a share ends upstreams", () => {
+describe("a kind of request of which a share crashes upstreams", () => {
     beforeEach(() => mock.timers.enable({ apis: ["Date"], now: 0 }));
     afterEach(() => mock.timers.reset());
 
-    it("loses no innocent one by that, and ends few upstreams under each guilty one", () => {
+    it("has no harmless one refused, and few crashes by each crashing one", () => {
         fc.assert(
             fc.property(fc.integer({ min: 1, max: 2 ** 31 }), seed => {
-                const fleet = play(seed);
-                const innocent = [...fleet.refused.keys()].filter(request => !fleet.lost.has(request));
-                expect(innocent).toEqual([]);
-                // Guilty ones that come together are told apart by one or two ends more.
-                expect(Math.max(0, ...fleet.lost.values())).toBeLessThanOrEqual(occasionsToBar + 3);
+                const fleet = simulate(seed);
+                const harmless = [...fleet.refused.keys()].filter(request => !fleet.crashes.has(request));
+                expect(harmless).toEqual([]);
+                // Crashing requests that run together take one or two more crashes to tell apart.
+                expect(Math.max(0, ...fleet.crashes.values())).toBeLessThanOrEqual(occasionsToBar + 3);
             }),
             { numRuns: 100, seed: 41 },
         );
--- a/packages/quarantine/src/tests/racks.test.ts
+++ b/packages/quarantine/src/tests/racks.test.ts
@@ -1,44 +1,43 @@
 /**
- * A rack of upstreams goes dark three times within 3 to 18 s, while answers take three seconds and more to begin: no
- * request has come to a good end before, and prompts that are asked again and again are there each time. None of the
- * requests is guilty.
+ * Simulates three outages of a rack while requests run so long that none has succeeded before, and frequent prompts are
+ * present at every outage. Guards against barring requests for crashes with an external cause.
  */
 import { expect } from "earl";
 import { afterEach, beforeEach, describe, it, mock } from "node:test";
-import { drawsOf, Fleet, upstreams } from "./fleets.js";
+import { Fleet, seededRandom, upstreamCount } from "./fleets.js";
 
 const stepMs = 100;
-const lastMs = 20_000;
-const rack = Array.from({ length: upstreams / 2 }, (_, at) => at);
-const darkTimes = 3;
-const firstDarkMs = 3000;
-const lastDarkMs = 18_000;
-/** Upstreams of a rack end within this time of each other, in milliseconds: each reports by itself. */
+const durationMs = 20_000;
+const rack = Array.from({ length: upstreamCount / 2 }, (_, at) => at);
+const outages = 3;
+const minOutageMs = 3000;
+const maxOutageMs = 18_000;
+/** Time over which the upstreams of a rack crash in an outage, in milliseconds. */
 const spreadMs = 40;
-const innocents = 100_000;
-/** A prompt that is asked so often comes about once a second. */
-const eachSecond = 0.1;
+const minRequests = 100_000;
+/** Share of steps in which a prompt is sent that comes about once per second. */
+const oncePerSecond = 0.1;
 
 interface Pattern {
-    /** How long requests run, in milliseconds. */
+    /** Duration of requests in milliseconds. */
     readonly shortestMs: number;
     readonly longestMs: number;
-    /** Prompts that are asked again and again, and the share of the steps in which each is. */
+    /** Number of frequent prompts, and the share of steps in which each is sent. */
     readonly prompts: number;
     readonly asked: number;
 }
 
-interface Played {
+interface SimulationResult {
     readonly sent: number;
     readonly refused: number;
 }
 
-function play(seed: number, { shortestMs, longestMs, prompts, asked }: Pattern): Played {
-    const draw = drawsOf(seed);
-    const fleet = new Fleet(draw, new Set(), shortestMs, longestMs);
-    const darkAt = new Set(
-        Array.from({ length: darkTimes }, () => {
-            const at = firstDarkMs + draw() * (lastDarkMs - firstDarkMs);
+function simulate(seed: number, { shortestMs, longestMs, prompts, asked }: Pattern): SimulationResult {
+    const random = seededRandom(seed);
+    const fleet = new Fleet(random, new Set(), shortestMs, longestMs);
+    const outageAt = new Set(
+        Array.from({ length: outages }, () => {
+            const at = minOutageMs + random() * (maxOutageMs - minOutageMs);
             return Math.round(at / stepMs) * stepMs;
         }),
     );
@@ -47,59 +46,59 @@
         sent += 1;
         fleet.send(request);
     };
-    for (let now = stepMs; now <= lastMs; now += stepMs) {
+    for (let now = stepMs; now <= durationMs; now += stepMs) {
         fleet.step(now);
-        Array.from({ length: prompts }, (_, index) => `prompt ${index}`).filter(() => draw() < asked).forEach(send);
+        Array.from({ length: prompts }, (_, index) => `prompt ${index}`).filter(() => random() < asked).forEach(send);
         [`once ${now}`, `thrice ${now}`, `thrice ${now - 1000}`, `thrice ${now - 2000}`].forEach(send);
-        if (darkAt.has(now)) {
-            rack.forEach(at => fleet.crash(at, Math.round(draw() * spreadMs)));
+        if (outageAt.has(now)) {
+            rack.forEach(at => fleet.crash(at, Math.round(random() * spreadMs)));
         }
     }
     return { sent, refused: [...fleet.refused.values()].reduce((sum, count) => sum + count, 0) };
 }
 
-/** Of so many innocent requests, how many were refused. */
-function refusedOf(pattern: Pattern): number {
+/** Number of harmless requests that were refused. */
+function countRefused(pattern: Pattern): number {
     let sent = 0;
     let refused = 0;
-    for (let seed = 1; sent < innocents; seed++) {
-        const played = play(seed, pattern);
-        sent += played.sent;
-        refused += played.refused;
+    for (let seed = 1; sent < minRequests; seed++) {
+        const result = simulate(seed, pattern);
+        sent += result.sent;
+        refused += result.refused;
     }
     return refused;
 }
 
-describe("bystanders of a rack that goes dark three times", () => {
+describe("harmless requests during three outages of a rack", () => {
     beforeEach(() => mock.timers.enable({ apis: ["Date"], now: 0 }));
     afterEach(() => mock.timers.reset());
 
     const patterns: readonly (readonly [string, Pattern])[] = [
-        ["one prompt is asked each second", { shortestMs: 3000, longestMs: 12_000, prompts: 1, asked: eachSecond }],
-        ["two are, and answers take longer", { shortestMs: 5000, longestMs: 30_000, prompts: 2, asked: eachSecond }],
+        ["one prompt is asked each second", { shortestMs: 3000, longestMs: 12_000, prompts: 1, asked: oncePerSecond }],
+        ["two are, and answers take longer", { shortestMs: 5000, longestMs: 30_000, prompts: 2, asked: oncePerSecond }],
         ["five are asked each five seconds", {
             shortestMs: 5000,
             longestMs: 30_000,
             prompts: 5,
-            asked: eachSecond / 5,
+            asked: oncePerSecond / 5,
         }],
-        ["one is asked each 200 ms", { shortestMs: 5000, longestMs: 30_000, prompts: 1, asked: eachSecond * 5 }],
+        ["one is asked each 200 ms", { shortestMs: 5000, longestMs: 30_000, prompts: 1, asked: oncePerSecond * 5 }],
         ["five are, and nothing ends in time", {
             shortestMs: 20_000,
             longestMs: 40_000,
             prompts: 5,
-            asked: eachSecond * 5,
+            asked: oncePerSecond * 5,
         }],
         ["one is, and nothing ends in time", {
             shortestMs: 20_000,
             longestMs: 40_000,
             prompts: 1,
-            asked: eachSecond * 5,
+            asked: oncePerSecond * 5,
         }],
     ];
     for (const [what, pattern] of patterns) {
         it(`are never refused, of 100,000, where ${what}`, () => {
-            expect(refusedOf(pattern)).toEqual(0);
+            expect(countRefused(pattern)).toEqual(0);
         });
     }
 });
