--- a/packages/accounts/src/authenticators.ts
+++ b/packages/accounts/src/authenticators.ts
@@ -5,7 +5,7 @@
  */
 import { steadyNow } from "@winchpath/core";
 import { type ClientAccount, type Configuration, keyDigest } from "@winchpath/declarations";
-import { KeyIndex } from "./keyrings.js";
+import { KeyIndex } from "./keyindexes.js";
 
 /** Maximum relative drift between the clocks of two hosts. */
 const maxClockDrift = 0.01;
@@ -15,7 +15,7 @@
 const newKeyUncertaintyMs = 2000;
 
 /** Configuration known to an entry, and when it was confirmed. */
-export interface KeyKnowledge {
+export interface ConfirmedConfiguration {
     readonly configuration: Configuration | undefined;
     /** Monotonic time up to which all acknowledged configurations are known. */
     readonly confirmedAt: number;
@@ -30,7 +30,7 @@
 }
 
 /** Client account that a request is served for. */
-export interface Grant {
+export interface AccountGrant {
     readonly account: string;
     readonly digest: string;
     /** Overrides the priority of the route. */
@@ -41,7 +41,7 @@
 export type Denial = "unknown-key" | "unconfirmed";
 
 export type Identity =
-    | { readonly kind: "granted"; readonly grant: Grant | undefined; }
+    | { readonly kind: "granted"; readonly grant: AccountGrant | undefined; }
     | { readonly kind: "denied"; readonly why: Denial; };
 
 export class Authenticator {
@@ -50,7 +50,10 @@
         keys: new KeyIndex([]),
     };
 
-    public constructor(private readonly knowledge: KeyKnowledge, private readonly options: RevocationOptions) {}
+    public constructor(
+        private readonly knowledge: ConfirmedConfiguration,
+        private readonly options: RevocationOptions,
+    ) {}
 
     /** Whether the configuration is recent enough to use its keys; always true without accounts. */
     public get isConfirmed(): boolean {
@@ -84,7 +87,7 @@
     }
 
     /** Checks an admitted request again before it is sent; returns why it must be refused. */
-    public denial(grant: Grant | undefined): Denial | undefined {
+    public denial(grant: AccountGrant | undefined): Denial | undefined {
         if (grant === undefined || this.accounts === undefined) {
             return undefined;
         }
--- a/packages/accounts/src/index.ts
+++ b/packages/accounts/src/index.ts
@@ -1,5 +1,5 @@
 export * from "./authenticators.js";
 export * from "./counts.js";
-export * from "./keyrings.js";
-export * from "./limitbooks.js";
+export * from "./keyindexes.js";
+export * from "./limitcoordinators.js";
 export * from "./limiters.js";
--- a/packages/accounts/src/limitbooks.ts
+++ b/packages/accounts/src/limitcoordinators.ts
@@ -15,12 +15,12 @@
 } from "./counts.js";
 
 /** Fill levels, as shares of the bucket size, at which enforcement by grants starts and stops. */
-export interface HoldingShares {
-    readonly heldBelow: number;
-    readonly freeAbove: number;
+export interface EnforcementThresholds {
+    readonly enforceBelow: number;
+    readonly releaseAbove: number;
 }
 
-const defaultThresholds: HoldingShares = { heldBelow: 0.5, freeAbove: 0.8 };
+const defaultThresholds: EnforcementThresholds = { enforceBelow: 0.5, releaseAbove: 0.8 };
 /** Initial fill level of buckets at a new leader, which doesn't know the usage before it took over. */
 const initialFillShare = 0.5;
 /** A request larger than the bucket is admitted once the bucket is filled to this share. */
@@ -75,7 +75,7 @@
     private readonly bucket: TokenBucket;
     private readonly demands = new Map<string, EntryDemand>();
 
-    public constructor(public limit: AccountLimit, private readonly thresholds: HoldingShares) {
+    public constructor(public limit: AccountLimit, private readonly thresholds: EnforcementThresholds) {
         this.bucket = new TokenBucket(limit.perSecond, bucketSize(limit), bucketSize(limit) * initialFillShare);
     }
 
@@ -117,7 +117,7 @@
     /** Updates by the fill level whether entries may only use grants; returns whether that changed. */
     public updateEnforcement(): boolean {
         const share = this.bucket.level / bucketSize(this.limit);
-        const strict = share < (this.strict ? this.thresholds.freeAbove : this.thresholds.heldBelow);
+        const strict = share < (this.strict ? this.thresholds.releaseAbove : this.thresholds.enforceBelow);
         const changed = strict !== this.strict;
         this.strict = strict;
         return changed;
@@ -165,7 +165,7 @@
     }
 }
 
-export class LimitBook {
+export class AccountLimitCoordinator {
     private readonly states = new Map<string, AccountLimitState>();
     private readonly startedAt = steadyNow();
 
@@ -176,7 +176,7 @@
     ) {}
 
     /** Applies the accounts of the current configuration. */
-    public follow(accounts: readonly ClientAccount[]): void {
+    public setAccounts(accounts: readonly ClientAccount[]): void {
         const limited = new Map(accounts.map(({ name, limit }) => [name, limit]));
         for (const name of this.states.keys()) {
             if (limited.get(name) === undefined) {
@@ -191,7 +191,7 @@
     }
 
     /** Processes the counts of an entry and returns its allowances. */
-    public take({ entry, process, counts, entries }: EntryCounts): Allowance[] {
+    public processCounts({ entry, process, counts, entries }: EntryCounts): Allowance[] {
         const isLearning = steadyNow() - this.startedAt < learningPeriodMs;
         const allowances: Allowance[] = [];
         for (const count of counts) {
--- a/packages/accounts/src/limiters.ts
+++ b/packages/accounts/src/limiters.ts
@@ -31,7 +31,7 @@
 /** Units that a request has consumed. */
 export interface Charge {
     /** Refunds the units of a request that didn't run. */
-    giveBack(): void;
+    refund(): void;
 }
 
 /** Whether a request is within the limit of its account. */
@@ -52,7 +52,7 @@
 }
 
 /** Charge of a request without a limit. */
-export const uncounted: Charge = { giveBack: () => undefined };
+export const noCharge: Charge = { refund: () => undefined };
 
 class AccountState {
     public used = 0;
@@ -205,7 +205,7 @@
     public constructor(private readonly tolerance: LimitTolerance, private readonly requestReport: () => void) {}
 
     /** Applies the accounts of the current configuration; `entries`: number of entries that share the limits. */
-    public follow(accounts: readonly ClientAccount[] | undefined, entries: number): void {
+    public setAccounts(accounts: readonly ClientAccount[] | undefined, entries: number): void {
         if (accounts === this.accounts) {
             return;
         }
@@ -231,7 +231,7 @@
     public async admit(account: string, tokens: number | undefined): Promise<Admission> {
         const state = this.states.get(account);
         if (state === undefined) {
-            return { kind: "admitted", charge: uncounted };
+            return { kind: "admitted", charge: noCharge };
         }
         const units = unitsOf(state.limit, tokens);
         state.recordDemand(units);
@@ -256,7 +256,7 @@
     }
 
     /** Applies the leader's answer to a report of `counts`. */
-    public take(counts: readonly AccountCounts[], allowances: readonly Allowance[]): void {
+    public applyAllowances(counts: readonly AccountCounts[], allowances: readonly Allowance[]): void {
         counts.forEach(one => this.states.get(one.account)?.markReported(one));
         for (const allowance of allowances) {
             const state = this.states.get(allowance.account);
@@ -296,7 +296,7 @@
 function createCharge(state: AccountState, units: number, isEnforced: boolean): Charge {
     let refundable = true;
     return {
-        giveBack: () => {
+        refund: () => {
             if (refundable) {
                 refundable = false;
                 state.refund(units, isEnforced);
--- a/packages/accounts/src/tests/authenticators.test.ts
+++ b/packages/accounts/src/tests/authenticators.test.ts
@@ -2,7 +2,7 @@
 import { expect } from "earl";
 import { array, assert, nat, property, record } from "fast-check";
 import { describe, it } from "node:test";
-import { Authenticator, type KeyKnowledge } from "../index.js";
+import { Authenticator, type ConfirmedConfiguration } from "../index.js";
 
 const revokeMs = 5000;
 
@@ -17,7 +17,7 @@
 
 describe("Authenticator", () => {
     const now = 1_000_000;
-    const setUp = (knowledge: KeyKnowledge, strict = true) =>
+    const setUp = (knowledge: ConfirmedConfiguration, strict = true) =>
         new Authenticator(knowledge, { strict, withinMs: revokeMs });
 
     it("finds an account by its key, and returns its name and priority", t => {
--- a/packages/availability/src/availabilities.ts
+++ b/packages/availability/src/availabilities.ts
@@ -1,7 +1,7 @@
 /** Decides whether a request may be sent to an upstream, based on the signals that the upstream has sent. */
-import { LeaverBook } from "./leavers.js";
+import { BackoffTracker } from "./backoffs.js";
+import { DrainTracker } from "./draintrackers.js";
 import { RateLimits } from "./ratelimits.js";
-import { RestBook } from "./rests.js";
 
 /** State of an upstream according to its own signals. All times are monotonic. */
 export type Availability =
@@ -19,19 +19,19 @@
  * Signals that this process has received from upstreams, by incarnation. Consulted when an upstream is selected, and
  * again right before a request is sent.
  */
-export class AvailabilityBook {
+export class AvailabilityTracker {
     public readonly rates = new RateLimits();
-    private readonly draining = new LeaverBook();
-    private readonly backoffs = new RestBook();
+    private readonly drainTracker = new DrainTracker();
+    private readonly backoffs = new BackoffTracker();
 
     /** Records that an upstream is shutting down; returns whether that is new. */
-    public leaves(upstream: string): boolean {
-        return this.draining.add(upstream);
+    public markDraining(upstream: string): boolean {
+        return this.drainTracker.add(upstream);
     }
 
     /** Stops sending to an upstream for `ms` milliseconds. */
-    public rest(upstream: string, ms: number): void {
-        this.backoffs.begin(upstream, ms);
+    public startBackoff(upstream: string, ms: number): void {
+        this.backoffs.start(upstream, ms);
     }
 
     /** Records an answer that asked for no backoff; returns whether that ended one. */
@@ -45,18 +45,18 @@
     }
 
     /** Upstreams that announced their shutdown within the last `withinMs` milliseconds. */
-    public recentLeavers(withinMs: number): string[] {
-        return this.draining.recent(withinMs);
+    public recentlyDraining(withinMs: number): string[] {
+        return this.drainTracker.recent(withinMs);
     }
 
-    public isLeaving(upstream: string): boolean {
-        return this.draining.has(upstream);
+    public isDraining(upstream: string): boolean {
+        return this.drainTracker.has(upstream);
     }
 
     /** Whether an upstream may be selected for a new request. */
-    public choosable(upstream: string): Availability {
-        const availability = this.evaluate(upstream, this.backoffs.choosableFrom(upstream));
-        const until = this.rates.heldUntil(upstream);
+    public forSelection(upstream: string): Availability {
+        const availability = this.evaluate(upstream, this.backoffs.selectableFrom(upstream));
+        const until = this.rates.blockedUntil(upstream);
         return availability.kind === "open" && until !== undefined ? { kind: "limited", until } : availability;
     }
 
@@ -64,12 +64,12 @@
      * Whether a request may still be sent to an upstream already selected for it, or the only one that can serve it.
      * Doesn't check rate limits: see {@link RateLimits.acquirePermit}.
      */
-    public sendable(upstream: string): Availability {
-        return this.evaluate(upstream, this.backoffs.untilOf(upstream));
+    public forSending(upstream: string): Availability {
+        return this.evaluate(upstream, this.backoffs.blockedUntil(upstream));
     }
 
     private evaluate(upstream: string, backoffUntil: number | undefined): Availability {
-        const since = this.draining.sinceOf(upstream);
+        const since = this.drainTracker.firstAnnouncedAt(upstream);
         if (since !== undefined) {
             return { kind: "leaving", since };
         }
@@ -80,21 +80,21 @@
 /**
  * Candidates that are not backing off, and the earliest monotonic time at which one of the others becomes available.
  */
-export function withoutResting<T>(
-    availability: Pick<AvailabilityBook, "choosable">,
+export function excludeBackingOff<T>(
+    availability: Pick<AvailabilityTracker, "forSelection">,
     candidates: readonly T[],
     idOf: (candidate: T) => string,
-): { readonly awake: T[]; readonly until: number; } {
-    const awake: T[] = [];
+): { readonly usable: T[]; readonly until: number; } {
+    const usable: T[] = [];
     let until = Number.POSITIVE_INFINITY;
     for (const one of candidates) {
-        const current = availability.choosable(idOf(one));
+        const current = availability.forSelection(idOf(one));
         if (current.kind === "resting") {
             until = Math.min(until, current.until);
         }
         else {
-            awake.push(one);
+            usable.push(one);
         }
     }
-    return { awake, until };
+    return { usable, until };
 }
--- a/packages/availability/src/rests.ts
+++ b/packages/availability/src/backoffs.ts
@@ -19,11 +19,11 @@
  * A backoff expires by itself. It doesn't count as a failure, and unlike outlier ejection it applies no matter how many
  * other upstreams are backing off.
  */
-export class RestBook {
+export class BackoffTracker {
     private readonly backoffs = new Map<string, Backoff>();
 
     /** Starts a backoff; where several overlap, the latest end applies. */
-    public begin(upstream: string, ms: number): void {
+    public start(upstream: string, ms: number): void {
         const previous = this.backoffs.get(upstream);
         const until = steadyNow() + Math.min(ms, maxBackoffMs);
         this.backoffs.set(upstream, { until: Math.max(until, previous?.until ?? 0), probeUntil: 0 });
@@ -33,7 +33,7 @@
     }
 
     /** Monotonic time until which no request may be sent; undefined if requests may be sent. */
-    public untilOf(upstream: string): number | undefined {
+    public blockedUntil(upstream: string): number | undefined {
         const until = this.backoffs.get(upstream)?.until;
         return until !== undefined && until > steadyNow() ? until : undefined;
     }
@@ -42,7 +42,7 @@
      * Monotonic time until which an upstream must not be selected; undefined if it may be. After a backoff a single
      * probe request is let through first, so that requests waiting at all entries aren't sent at once.
      */
-    public choosableFrom(upstream: string): number | undefined {
+    public selectableFrom(upstream: string): number | undefined {
         const backoff = this.backoffs.get(upstream);
         if (backoff === undefined) {
             return undefined;
@@ -61,7 +61,7 @@
 
     /** Records an answer that asked for no backoff; returns whether that ended one. */
     public answered(upstream: string): boolean {
-        return this.untilOf(upstream) === undefined && this.backoffs.delete(upstream);
+        return this.blockedUntil(upstream) === undefined && this.backoffs.delete(upstream);
     }
 
     private dropEarliest(): void {
--- a/packages/availability/src/leavers.ts
+++ b/packages/availability/src/draintrackers.ts
@@ -10,7 +10,7 @@
  * Keyed by incarnation. Shutting down is final: a signal of the same incarnation that arrives later was sent earlier,
  * or by a process that doesn't know of the shutdown yet.
  */
-export class LeaverBook {
+export class DrainTracker {
     /** Monotonic time of the first announcement, by upstream. */
     private readonly announcedAt = new Map<string, number>();
 
@@ -29,7 +29,7 @@
     }
 
     /** Monotonic time of the first announcement. */
-    public sinceOf(upstream: string): number | undefined {
+    public firstAnnouncedAt(upstream: string): number | undefined {
         return this.announcedAt.get(upstream);
     }
 
--- a/packages/availability/src/rateledgers.ts
+++ b/packages/availability/src/ratecoordinators.ts
@@ -58,7 +58,7 @@
  * exceed grants, even if processes fail or messages are late. A new leader assumes that the previous one had granted
  * the maximum.
  */
-export class RateLedger {
+export class RateLimitCoordinator {
     private readonly records = new Map<string, RateRecord>();
     private readonly startedAt = steadyNow();
 
@@ -69,7 +69,7 @@
     ) {}
 
     /** Processes the reports of one process and returns a grant for each. */
-    public take(from: string, reports: readonly RateReport[]): RateGrant[] {
+    public processReports(from: string, reports: readonly RateReport[]): RateGrant[] {
         this.removeExpired();
         return reports.map(report => {
             this.recordReport(from, report);
--- a/packages/availability/src/ratelimits.ts
+++ b/packages/availability/src/ratelimits.ts
@@ -46,7 +46,7 @@
 }
 
 /** Whether the rate limit of an upstream lets a request through. */
-export type RateVerdict = "unlimited" | "permitted" | "refused";
+export type PermitDecision = "unlimited" | "permitted" | "refused";
 
 /** A limit that the upstream itself has announced to this process. */
 interface AnnouncedRate {
@@ -155,7 +155,7 @@
      * `requestReport` is called when the leader should be contacted soon, `onPermits` when blocked requests may
      * proceed.
      */
-    public listen(requestReport: () => void, onPermits: () => void): void {
+    public setCallbacks(requestReport: () => void, onPermits: () => void): void {
         this.requestReport = requestReport;
         this.onPermits = onPermits;
     }
@@ -164,7 +164,7 @@
      * Records a rate in requests per second from the answer to a request sent at `sentAt` (monotonic); returns the rate
      * that was known before.
      */
-    public name(upstream: string, perSecond: number, sentAt: number): number | undefined {
+    public recordRate(upstream: string, perSecond: number, sentAt: number): number | undefined {
         const state = this.limited.get(upstream) ?? this.addUpstream(upstream);
         const previous = state.announced;
         if (previous === undefined || perSecond <= previous.perSecond) {
@@ -182,7 +182,7 @@
     }
 
     /** Records that the leader knows of a limit. */
-    public told(upstream: string): void {
+    public recordKnownLimit(upstream: string): void {
         // A limit that this process has found to be lifted stays lifted until the leader has been told.
         if (!this.limited.has(upstream) && !this.lifted.has(upstream)) {
             this.addUpstream(upstream);
@@ -190,7 +190,7 @@
     }
 
     /** Records an answer without a limit to a request sent at `sentAt`; returns whether that lifted one. */
-    public answeredWithout(upstream: string, sentAt: number): boolean {
+    public recordUnlimitedAnswer(upstream: string, sentAt: number): boolean {
         const state = this.limited.get(upstream);
         if (state === undefined || sentAt < state.updatedAt) {
             return false;
@@ -202,13 +202,13 @@
     }
 
     /** Monotonic time at which a request may be sent; undefined if one may be sent now. */
-    public heldUntil(upstream: string): number | undefined {
+    public blockedUntil(upstream: string): number | undefined {
         const state = this.limited.get(upstream);
         return state === undefined || state.available > 0 ? undefined : state.nextPermitAt;
     }
 
     /** Records that a request is waiting for a permit. */
-    public want(upstream: string, request: string): void {
+    public addWaiting(upstream: string, request: string): void {
         const state = this.limited.get(upstream);
         state?.addWaiting(request);
         if (state?.isExhausted === false) {
@@ -217,7 +217,7 @@
     }
 
     /** Takes a permit for a request that is about to be sent, if one is needed. */
-    public take(upstream: string): RateVerdict {
+    public acquirePermit(upstream: string): PermitDecision {
         const state = this.limited.get(upstream);
         if (state === undefined) {
             return "unlimited";
@@ -226,12 +226,12 @@
     }
 
     /** Whether there is something to report to the leader of this epoch. */
-    public hasNews(epoch: string): boolean {
+    public hasReports(epoch: string): boolean {
         return this.lifted.size > 0 || [...this.limited.values()].some(state => needsReport(state, epoch));
     }
 
     /** Creates the reports for the leader of this epoch, and resets the counters that they contain. */
-    public reports(epoch: string): RateReport[] {
+    public createReports(epoch: string): RateReport[] {
         const now = steadyNow();
         const reports: RateReport[] = [];
         for (const [upstream, sentAt] of this.lifted) {
@@ -254,7 +254,7 @@
     }
 
     /** Applies the leader's response to reports that were created at `askedAt` (monotonic). */
-    public answered(
+    public applyGrants(
         reports: readonly RateReport[],
         grants: readonly RateGrant[],
         { epoch, askedAt }: { readonly epoch: string; readonly askedAt: number; },
@@ -277,7 +277,7 @@
     private applyGrant(grant: RateGrant, askedAt: number): void {
         const state = this.limited.get(grant.upstream);
         if (!grant.lifted) {
-            this.told(grant.upstream);
+            this.recordKnownLimit(grant.upstream);
             this.limited.get(grant.upstream)?.applyGrant(grant, askedAt);
         }
         else if (state !== undefined && state.updatedAt <= askedAt) {
--- a/packages/availability/src/tests/availabilities.test.ts
+++ b/packages/availability/src/tests/availabilities.test.ts
@@ -1,21 +1,21 @@
 import { expect } from "earl";
 import fc from "fast-check";
 import { afterEach, beforeEach, describe, it, mock } from "node:test";
-import { AvailabilityBook, LeaverBook, withoutResting } from "../index.js";
+import { AvailabilityTracker, DrainTracker, excludeBackingOff } from "../index.js";
 
 describe("availability signals of upstreams", () => {
     beforeEach(() => mock.timers.enable({ apis: ["Date"], now: 1_000_000 }));
     afterEach(() => mock.timers.reset());
 
-    const kinds = (tracker: AvailabilityBook, upstream = "a") => [
-        tracker.choosable(upstream).kind,
-        tracker.sendable(upstream).kind,
+    const kinds = (tracker: AvailabilityTracker, upstream = "a") => [
+        tracker.forSelection(upstream).kind,
+        tracker.forSending(upstream).kind,
     ];
 
     describe("shutdown", () => {
         it("is final for an incarnation and doesn't affect another", () => {
-            const tracker = new AvailabilityBook();
-            expect([tracker.leaves("a@1"), tracker.leaves("a@1")]).toEqual([true, false]);
+            const tracker = new AvailabilityTracker();
+            expect([tracker.markDraining("a@1"), tracker.markDraining("a@1")]).toEqual([true, false]);
             tracker.answered("a@1");
             mock.timers.tick(60_000);
             expect(kinds(tracker, "a@1")).toEqual(["leaving", "leaving"]);
@@ -23,14 +23,14 @@
         });
 
         it("takes precedence over backoff", () => {
-            const tracker = new AvailabilityBook();
-            tracker.rest("a", 3000);
-            tracker.leaves("a");
+            const tracker = new AvailabilityTracker();
+            tracker.startBackoff("a", 3000);
+            tracker.markDraining("a");
             expect(kinds(tracker)).toEqual(["leaving", "leaving"]);
         });
 
         it("is kept for the latest 4096 upstreams, for at least ten minutes", () => {
-            const tracker = new LeaverBook();
+            const tracker = new DrainTracker();
             for (let index = 0; index < 10_000; index++) {
                 tracker.add(`u${index}`);
             }
@@ -44,9 +44,9 @@
 
     describe("backoff", () => {
         it("lasts until the latest end of overlapping ones", () => {
-            const tracker = new AvailabilityBook();
-            tracker.rest("a", 3000);
-            tracker.rest("a", 500);
+            const tracker = new AvailabilityTracker();
+            tracker.startBackoff("a", 3000);
+            tracker.startBackoff("a", 500);
             mock.timers.tick(2999);
             expect(kinds(tracker)).toEqual(["resting", "resting"]);
             expect(tracker.answered("a")).toEqual(false);
@@ -56,15 +56,15 @@
         });
 
         it("ends with one probe, until that is answered or a second has passed", () => {
-            const tracker = new AvailabilityBook();
-            tracker.rest("a", 1000);
+            const tracker = new AvailabilityTracker();
+            tracker.startBackoff("a", 1000);
             mock.timers.tick(1000);
             tracker.sent("a");
             // Not selected for new requests, but a request already assigned may be sent.
             expect(kinds(tracker)).toEqual(["resting", "open"]);
             expect(tracker.answered("a")).toEqual(true);
             expect(kinds(tracker)).toEqual(["open", "open"]);
-            tracker.rest("a", 1000);
+            tracker.startBackoff("a", 1000);
             mock.timers.tick(1000);
             tracker.sent("a");
             mock.timers.tick(1000);
@@ -72,23 +72,23 @@
         });
 
         it("is limited to ten minutes and to 4096 upstreams", () => {
-            const tracker = new AvailabilityBook();
-            tracker.rest("a", 1e12);
+            const tracker = new AvailabilityTracker();
+            tracker.startBackoff("a", 1e12);
             mock.timers.tick(600_000);
             expect(kinds(tracker)).toEqual(["open", "open"]);
             for (let index = 0; index < 5000; index++) {
-                tracker.rest(`u${index}`, 1000 + index);
+                tracker.startBackoff(`u${index}`, 1000 + index);
             }
             expect([kinds(tracker, "u0")[1], kinds(tracker, "u4999")[1]]).toEqual(["open", "resting"]);
         });
 
         it("excludes upstreams from selection, and gives the earliest end", () => {
-            const tracker = new AvailabilityBook();
-            tracker.rest("a", 3000);
-            tracker.rest("b", 2000);
+            const tracker = new AvailabilityTracker();
+            tracker.startBackoff("a", 3000);
+            tracker.startBackoff("b", 2000);
             const idOf = (id: string) => id;
-            expect(withoutResting(tracker, ["a", "b"], idOf)).toEqual({ awake: [], until: 1_002_000 });
-            expect(withoutResting(tracker, ["a", "c"], idOf)).toEqual({ awake: ["c"], until: 1_003_000 });
+            expect(excludeBackingOff(tracker, ["a", "b"], idOf)).toEqual({ usable: [], until: 1_002_000 });
+            expect(excludeBackingOff(tracker, ["a", "c"], idOf)).toEqual({ usable: ["c"], until: 1_003_000 });
         });
 
         it("blocks all requests until its end under random events", () => {
@@ -100,22 +100,22 @@
             );
             fc.assert(
                 fc.property(fc.array(act, { maxLength: 60 }), acts => {
-                    const tracker = new AvailabilityBook();
+                    const tracker = new AvailabilityTracker();
                     let until = 0;
                     for (const { kind, ms } of acts) {
                         if (kind === "pass") {
                             mock.timers.tick(ms);
                         }
                         else if (kind === "rest") {
-                            tracker.rest("a", ms);
+                            tracker.startBackoff("a", ms);
                             until = Math.max(until, Date.now() + ms);
                         }
                         else {
                             tracker[kind]("a");
                         }
                         const rests = Date.now() < until;
-                        expect(tracker.sendable("a").kind).toEqual(rests ? "resting" : "open");
-                        expect(rests && tracker.choosable("a").kind === "open").toEqual(false);
+                        expect(tracker.forSending("a").kind).toEqual(rests ? "resting" : "open");
+                        expect(rests && tracker.forSelection("a").kind === "open").toEqual(false);
                     }
                 }),
                 { numRuns: 500, seed: 37 },
--- a/packages/availability/src/tests/ratehistories.test.ts
+++ b/packages/availability/src/tests/ratesimulations.test.ts
@@ -3,7 +3,7 @@
 import fc from "fast-check";
 import { afterEach, beforeEach, describe, it, mock } from "node:test";
 import prand from "pure-rand";
-import { RateLedger, RateLimits } from "../index.js";
+import { RateLimitCoordinator, RateLimits } from "../index.js";
 
 /** Duration of a simulation step in milliseconds. */
 const stepMs = 10;
@@ -54,7 +54,7 @@
     /** Times at which requests reached the upstream. */
     public readonly arrivals: number[] = [];
     private readonly entries: { readonly rates: RateLimits; reportedAt: number; busy: boolean; }[];
-    private coordinator: RateLedger | undefined;
+    private coordinator: RateLimitCoordinator | undefined;
     private epoch = 0;
     private events: { readonly at: number; readonly act: () => void; }[] = [];
     private readonly generator: prand.RandomGenerator;
@@ -104,9 +104,9 @@
 
     private startLeader(): void {
         this.epoch += 1;
-        const coordinator = new RateLedger(silentLog, (id, limited) => {
+        const coordinator = new RateLimitCoordinator(silentLog, (id, limited) => {
             if (limited) {
-                this.entries.forEach(({ rates }) => this.schedule(this.delay(), () => rates.told(id)));
+                this.entries.forEach(({ rates }) => this.schedule(this.delay(), () => rates.recordKnownLimit(id)));
             }
         });
         this.coordinator = coordinator;
@@ -117,28 +117,28 @@
         for (; this.due >= 1; this.due--) {
             this.requests += 1;
             const { rates } = this.entries[Math.floor(this.random() * this.scenario.entries)];
-            if (rates.heldUntil(upstream) === undefined) {
+            if (rates.blockedUntil(upstream) === undefined) {
                 this.send(rates);
             }
             else {
-                rates.want(upstream, `q${this.requests}`);
+                rates.addWaiting(upstream, `q${this.requests}`);
             }
         }
     }
 
     private send(rates: RateLimits): void {
         const sentAt = Date.now();
-        rates.take(upstream);
+        rates.acquirePermit(upstream);
         this.schedule(this.delay(), () => {
             this.arrivals.push(this.now);
             this.schedule(20 + this.random() * 400, () => {
                 const limited = this.now >= limitedFrom && this.now < limitedUntil;
                 this.schedule(this.delay(), () => {
                     if (limited) {
-                        rates.name(upstream, this.scenario.perSecond, sentAt);
+                        rates.recordRate(upstream, this.scenario.perSecond, sentAt);
                     }
                     else {
-                        rates.answeredWithout(upstream, sentAt);
+                        rates.recordUnlimitedAnswer(upstream, sentAt);
                     }
                 });
             });
@@ -151,11 +151,11 @@
         const epoch = String(this.epoch);
         const sinceMs = this.now - entry.reportedAt;
         const { coordinator } = this;
-        if (entry.busy || coordinator === undefined || sinceMs < pauseMs || !entry.rates.hasNews(epoch)) {
+        if (entry.busy || coordinator === undefined || sinceMs < pauseMs || !entry.rates.hasReports(epoch)) {
             return;
         }
         const askedAt = Date.now();
-        const reports = entry.rates.reports(epoch);
+        const reports = entry.rates.createReports(epoch);
         entry.reportedAt = this.now;
         entry.busy = true;
         const [asked, answered] = [this.random() >= this.scenario.loss, this.random() >= this.scenario.loss];
@@ -164,14 +164,16 @@
             return;
         }
         this.schedule(this.delay(), () => {
-            const grants = coordinator === this.coordinator ? coordinator.take(`e${index}`, reports) : undefined;
+            const grants = coordinator === this.coordinator
+                ? coordinator.processReports(`e${index}`, reports)
+                : undefined;
             if (grants === undefined || !answered) {
                 this.schedule(reportMs, () => entry.busy = false);
                 return;
             }
             this.schedule(this.delay(), () => {
                 entry.busy = false;
-                entry.rates.answered(reports, grants, { epoch, askedAt });
+                entry.rates.applyGrants(reports, grants, { epoch, askedAt });
             });
         });
     }
--- a/packages/availability/src/unknownwords.ts
+++ b/packages/availability/src/unsupportednames.ts
@@ -10,13 +10,13 @@
  * An unsupported signal may ask for less load than the upstream gets. Each name is logged once per service, without its
  * value, which may be a secret.
  */
-export class UnknownWords {
+export class UnsupportedNameReporter {
     private readonly reported = new Set<string>();
 
     public constructor(private readonly log: EventLog, private readonly metrics: Metrics) {}
 
     /** `names`: of unsupported headers or fields; `upstream`: the upstream that sent them. */
-    public note(service: string, upstream: string, names: readonly string[]): void {
+    public report(service: string, upstream: string, names: readonly string[]): void {
         for (const name of names) {
             const key = `${service}/${name}`;
             if (!this.reported.has(key) && this.reported.size < maxNames) {
--- a/packages/bench/src/policies.ts
+++ b/packages/bench/src/policies.ts
@@ -1,7 +1,7 @@
 /** The two ways of deciding that are compared: winchpath's, and a naive one. */
 import { Metrics, silentLog, sleep } from "@winchpath/core";
 import { FirstFitPlacer, IncrementalPlacer, type Placer } from "@winchpath/placement";
-import { CrashBook } from "@winchpath/quarantine";
+import { QuarantineState } from "@winchpath/quarantine";
 import { type AgentConnector, Claims, type Job, RequestHandler, RequestQuarantine } from "@winchpath/requests";
 import { RoundRobinPicker, Router } from "@winchpath/routing";
 import { Timeline } from "@winchpath/timeline";
@@ -30,7 +30,7 @@
 
     public newEntry(name: string, agents: AgentConnector, registrar: Registrar): EntryPolicy {
         const claims = new Claims();
-        const crashes = new CrashBook();
+        const crashes = new QuarantineState();
         const handler = new RequestHandler({
             entry: name,
             agents,
--- a/packages/fleet/src/adapterplans.ts
+++ b/packages/fleet/src/adapterplans.ts
@@ -1,6 +1,6 @@
 /** Plans loads of adapters, and the unloads that make room for them. */
 import { type ItemNeed } from "./demands.js";
-import { type PlannedEngine, type PlannedOrder } from "./plans.js";
+import { type EngineSnapshot, type PlannedOrder } from "./plans.js";
 import { type PlanState } from "./planstates.js";
 
 /** Share of an engine's request slots that one adapter may use before it is loaded on another engine. */
@@ -28,20 +28,20 @@
      * Whether an engine could load an adapter that has unserved requests. It accepts no adapter orders while
      * it loads a model.
      */
-    public hasUnservedAdapters(engine: PlannedEngine): boolean {
+    public hasUnservedAdapters(engine: EngineSnapshot): boolean {
         this.unservedNeeds ??= this.state.input.needs.filter(({ key, lacking }) =>
             key.adapter !== "" && lacking > 0 && !this.isLoadedAnywhere(key.model, key.adapter)
         );
         return this.unservedNeeds.some(need =>
-            engine.models.get(need.key.model)?.ready === true && this.placementOrder(engine, need) !== undefined
+            engine.models.get(need.key.model)?.isReady === true && this.placementOrder(engine, need) !== undefined
         );
     }
 
     private orderFor(need: ItemNeed): PlannedOrder | undefined {
         const { model, adapter } = need.key;
         const { state } = this;
-        const holders = state.holders(model).filter(engine => engine.models.get(model)!.ready);
-        const stageAt = (engine: PlannedEngine) => engine.models.get(model)!.adapters.get(adapter);
+        const holders = state.holders(model).filter(engine => engine.models.get(model)!.isReady);
+        const stageAt = (engine: EngineSnapshot) => engine.models.get(model)!.adapters.get(adapter);
         const replicas = holders.filter(engine => stageAt(engine) === "coming" || stageAt(engine) === "held");
         const isSufficient =
             replicas.length >= 1 + Math.floor(need.running / (state.input.spec.slots * slotShareBeforeReplication));
@@ -50,7 +50,7 @@
         }
         const candidates = holders
             .filter(engine =>
-                stageAt(engine) === undefined && engine.freeTransits > 0 && !state.assignedEngines.has(engine.id)
+                stageAt(engine) === undefined && engine.freeAdapterLoads > 0 && !state.assignedEngines.has(engine.id)
             )
             .sort((a, b) => this.adapterDemand(a) - this.adapterDemand(b));
         for (const engine of candidates) {
@@ -64,7 +64,7 @@
     }
 
     /** The order that loads an adapter on an engine or makes room for it; undefined if none of its adapters is idle. */
-    private placementOrder(engine: PlannedEngine, need: ItemNeed): PlannedOrder | undefined {
+    private placementOrder(engine: EngineSnapshot, need: ItemNeed): PlannedOrder | undefined {
         const { model, adapter } = need.key;
         const { state } = this;
         if (
@@ -87,7 +87,7 @@
     }
 
     /** The adapter that has been idle for longest; undefined while another one is being unloaded. */
-    private longestIdleAdapter(engine: PlannedEngine): { model: string; adapter: string; } | undefined {
+    private longestIdleAdapter(engine: EngineSnapshot): { model: string; adapter: string; } | undefined {
         if (hasLeavingAdapter(engine)) {
             return undefined;
         }
@@ -112,7 +112,7 @@
     }
 
     /** Requests a second for the adapters of an engine, with a base rate for each. */
-    private adapterDemand(engine: PlannedEngine): number {
+    private adapterDemand(engine: EngineSnapshot): number {
         let rate = 0;
         for (const [model, held] of engine.models) {
             for (const adapter of held.adapters.keys()) {
@@ -123,10 +123,10 @@
     }
 }
 
-function adapterCount(engine: PlannedEngine): number {
+function adapterCount(engine: EngineSnapshot): number {
     return [...engine.models.values()].reduce((count, held) => count + held.adapters.size, 0);
 }
 
-function hasLeavingAdapter(engine: PlannedEngine): boolean {
+function hasLeavingAdapter(engine: EngineSnapshot): boolean {
     return [...engine.models.values()].some(held => [...held.adapters.values()].includes("leaving"));
 }
--- a/packages/fleet/src/gatherers.ts
+++ b/packages/fleet/src/announcementbatchers.ts
@@ -17,11 +17,11 @@
     /** Forwards one announcement in full. */
     announce(announcement: Announcement): Promise<void>;
     /** Sends heartbeats of upstreams; returns the ids that the leader does not know. */
-    reaffirm(upstreams: readonly Reaffirmed[]): Promise<readonly string[]>;
+    reaffirm(upstreams: readonly UpstreamHeartbeat[]): Promise<readonly string[]>;
 }
 
 /** Heartbeat of an upstream whose announcement has not changed. */
-export interface Reaffirmed {
+export interface UpstreamHeartbeat {
     readonly id: string;
     readonly sequence: bigint;
 }
@@ -33,7 +33,7 @@
 }
 
 /** Forwards changed announcements to the leader at once, and unchanged ones as batched heartbeats. */
-export class AnnouncementGatherer {
+export class AnnouncementBatcher {
     private readonly forwarded = new Map<string, ForwardedAnnouncement>();
     private pending = new Map<string, Announcement>();
     /** Steady time of the leader's last answer. */
--- a/packages/fleet/src/announcements.ts
+++ b/packages/fleet/src/announcements.ts
@@ -1,8 +1,8 @@
 /** Receives announcements of upstreams, and applies them at the leader or forwards them to it. */
 import { type EventLog, Failure, FailureCode } from "@winchpath/core";
 import { type RpcClients } from "@winchpath/rpc";
+import { AnnouncementBatcher, type AnnouncementLeader, type UpstreamHeartbeat } from "./announcementbatchers.js";
 import { type Feed } from "./feeds.js";
-import { AnnouncementGatherer, type AnnouncementLeader, type Reaffirmed } from "./gatherers.js";
 import { type Announcement, FleetService, UpstreamState } from "./gen/winchpath/fleet/v1/fleet_pb.js";
 import { type Incarnation, incarnationId } from "./incarnations.js";
 import { type Registry } from "./registries.js";
@@ -16,8 +16,8 @@
 /** Departures fail if the leader can't confirm its leadership within this time. */
 const leadershipTimeoutMs = 700;
 
-export interface DeskControl {
-    readonly leads: boolean;
+export interface AnnouncementControl {
+    readonly isLeader: boolean;
     /** Resolves once a majority has confirmed that this host is still the leader; rejects after the timeout. */
     confirmLeadership(timeoutMs: number): Promise<void>;
     /** URL of the leader; empty if unknown. */
@@ -27,7 +27,7 @@
 /** Forwards announcements to the leader. */
 export class AnnouncementRelay implements AnnouncementLeader {
     public constructor(
-        private readonly control: Pick<DeskControl, "leaderUrl">,
+        private readonly control: Pick<AnnouncementControl, "leaderUrl">,
         private readonly clients: RpcClients,
     ) {}
 
@@ -39,7 +39,7 @@
         await this.leader().announce({ announcement }, { timeoutMs: relayTimeoutMs });
     }
 
-    public async reaffirm(upstreams: readonly Reaffirmed[]): Promise<readonly string[]> {
+    public async reaffirm(upstreams: readonly UpstreamHeartbeat[]): Promise<readonly string[]> {
         const { unknown } = await this.leader().reaffirm({ upstreams: [...upstreams] }, { timeoutMs: relayTimeoutMs });
         return unknown;
     }
@@ -58,19 +58,19 @@
 }
 
 /** Receives announcements on a control host. */
-export class AnnouncementDesk implements AnnouncementLeader {
+export class AnnouncementReceiver implements AnnouncementLeader {
     private readonly relay: AnnouncementRelay;
-    private readonly gatherer: AnnouncementGatherer;
+    private readonly gatherer: AnnouncementBatcher;
 
     public constructor(
         private readonly registry: Registry,
         private readonly feed: Feed,
-        private readonly control: DeskControl,
+        private readonly control: AnnouncementControl,
         clients: RpcClients,
         log: EventLog,
     ) {
         this.relay = new AnnouncementRelay(control, clients);
-        this.gatherer = new AnnouncementGatherer(this, log);
+        this.gatherer = new AnnouncementBatcher(this, log);
     }
 
     /** Sends batched reaffirmations to the leader until the signal is aborted. */
@@ -79,33 +79,33 @@
     }
 
     /** Resolves once the leader has applied it and, if the upstream drains, live entries have confirmed it. */
-    public take(announcement: Announcement): Promise<void> {
+    public receive(announcement: Announcement): Promise<void> {
         return this.gatherer.announce(announcement);
     }
 
     public get leaderUrl(): string {
-        return this.control.leads ? selfUrl : this.control.leaderUrl;
+        return this.control.isLeader ? selfUrl : this.control.leaderUrl;
     }
 
     public async announce(announcement: Announcement): Promise<void> {
-        if (this.control.leads) {
+        if (this.control.isLeader) {
             return this.announceLocally(announcement);
         }
         await this.relay.announce(announcement);
     }
 
-    public async reaffirm(upstreams: readonly Reaffirmed[]): Promise<readonly string[]> {
-        return this.control.leads ? this.reaffirmLocally(upstreams) : this.relay.reaffirm(upstreams);
+    public async reaffirm(upstreams: readonly UpstreamHeartbeat[]): Promise<readonly string[]> {
+        return this.control.isLeader ? this.reaffirmLocally(upstreams) : this.relay.reaffirm(upstreams);
     }
 
     /** Returns the ids that the registry doesn't know. */
-    public reaffirmLocally(upstreams: readonly Reaffirmed[]): string[] {
+    public reaffirmLocally(upstreams: readonly UpstreamHeartbeat[]): string[] {
         return upstreams.filter(({ id, sequence }) => !this.registry.reaffirm(id, sequence)).map(({ id }) => id);
     }
 
     public async leave(incarnation: Incarnation): Promise<void> {
         this.gatherer.forget(incarnationId(incarnation));
-        if (this.control.leads) {
+        if (this.control.isLeader) {
             return this.leaveLocally(incarnation);
         }
         await this.relay.leave(incarnation);
@@ -114,7 +114,7 @@
     public async announceLocally(announcement: Announcement): Promise<void> {
         const { upstream } = announcement;
         const position = this.registry.announce(announcement);
-        this.feed.wake();
+        this.feed.wakePolls();
         if (upstream?.state === UpstreamState.DRAINING) {
             await this.confirmDeparture(position);
         }
--- a/packages/fleet/src/pastdemands.ts
+++ b/packages/fleet/src/demandhistories.ts
@@ -1,7 +1,7 @@
 /** Demand history of an entry, for reports to a new leader. */
 import { steadyNow } from "@winchpath/core";
 import { halfLifeMs } from "./demands.js";
-import { type ItemKey, itemName } from "./items.js";
+import { type ItemKey, itemMapKey } from "./items.js";
 
 /** Items without requests for ten half-lives are removed: less than a thousandth of their demand remains. */
 const retentionMs = 10 * halfLifeMs;
@@ -19,7 +19,7 @@
     private readonly byItem = new Map<string, DecayedDemand>();
 
     public record(key: ItemKey, work: number): void {
-        const name = itemName(key);
+        const name = itemMapKey(key);
         const before = this.decayed(name);
         this.byItem.set(name, { key, requests: before.requests + 1, work: before.work + work, updatedAt: steadyNow() });
     }
--- a/packages/fleet/src/demands.ts
+++ b/packages/fleet/src/demands.ts
@@ -1,7 +1,7 @@
 /** Aggregates demand at the leader from the reports of all entries. */
 import { type EventLog, steadyNow } from "@winchpath/core";
 import { type DemandRequest, type EnginePace, type ItemDemand } from "./gen/winchpath/fleet/v1/fleet_pb.js";
-import { type ItemKey, itemName, modelName } from "./items.js";
+import { type ItemKey, itemMapKey, modelMapKey } from "./items.js";
 
 /** An entry's counts are ignored after this long without a report, in milliseconds. */
 const reportExpiryMs = 2000;
@@ -57,7 +57,7 @@
 }
 
 /** Demand and throughput per item, from the reports of all entries. */
-export class DemandBook {
+export class DemandTracker {
     private readonly items = new Map<string, ItemRecord>();
     private readonly throughputs = new Map<string, number>();
     /** Models that requests wait for in each entry's latest report. */
@@ -71,22 +71,22 @@
     public take(report: DemandRequest): void {
         report.items.forEach(demand => this.updateItem(report.entry, demand));
         const waiting = report.items.filter(item => item.waiting > 0);
-        this.awaitedByEntry.set(report.entry, new Set(waiting.map(item => modelName(item.service, item.model))));
+        this.awaitedByEntry.set(report.entry, new Set(waiting.map(item => modelMapKey(item.service, item.model))));
         report.paces.forEach(pace => this.updateThroughput(pace));
     }
 
     /** Prompt tokens per second that an engine processes for a model; undefined if unknown. */
-    public paceOf(service: string, model: string): number | undefined {
-        return this.throughputs.get(modelName(service, model));
+    public throughputOf(service: string, model: string): number | undefined {
+        return this.throughputs.get(modelMapKey(service, model));
     }
 
-    /** Models that requests wait for at an entry, as {@link modelName} keys. */
-    public awaitedAt(entry: string): ReadonlySet<string> {
+    /** Models that requests wait for at an entry, as {@link modelMapKey} keys. */
+    public awaitedModels(entry: string): ReadonlySet<string> {
         return this.awaitedByEntry.get(entry) ?? emptySet;
     }
 
     /** Whether enough reports have been received to act on demand. */
-    public get isHeard(): boolean {
+    public get hasEnoughReports(): boolean {
         const now = steadyNow();
         const hasHistory = this.historySince !== undefined && now - this.historySince >= minObservationWithHistoryMs;
         return hasHistory || now - this.startedAt >= minObservationMs;
@@ -102,7 +102,7 @@
     }
 
     private updateThroughput(report: EnginePace): void {
-        const name = modelName(report.service, report.model);
+        const name = modelMapKey(report.service, report.model);
         const previous = this.throughputs.get(name) ?? report.tokensPerSecond;
         this.throughputs.set(name, previous + (report.tokensPerSecond - previous) * throughputWeight);
     }
@@ -110,7 +110,7 @@
     private updateItem(entry: string, demand: ItemDemand): void {
         const now = steadyNow();
         const key = { service: demand.service, model: demand.model, adapter: demand.adapter };
-        const name = itemName(key);
+        const name = itemMapKey(key);
         let item = this.items.get(name);
         if (item === undefined) {
             item = {
--- a/packages/fleet/src/followers.ts
+++ b/packages/fleet/src/feedfollowers.ts
@@ -1,9 +1,9 @@
 /** The entry's client of the change feed: discovers the leader and polls it. */
 import { type EventLog, messageOf, sleep, steadyNow } from "@winchpath/core";
 import { isSilence, type PeerClients } from "@winchpath/rpc";
+import { type FleetView } from "./fleetviews.js";
 import { FleetService, type PollResponse } from "./gen/winchpath/fleet/v1/fleet_pb.js";
 import { type FollowedLeader } from "./meters.js";
-import { type FleetView } from "./views.js";
 
 /** How long the leader may hold a poll without changes. */
 const pollWaitMs = 1000;
@@ -53,7 +53,7 @@
     }
 
     /** The current leader and its epoch. */
-    public get followed(): FollowedLeader {
+    public get currentLeader(): FollowedLeader {
         return { url: this.leaderUrl, epoch: this.epoch };
     }
 
@@ -168,7 +168,7 @@
         this.leaderUrl = url;
         this.epoch = res.epoch;
         this.position = res.position;
-        this.view.take(res, sentAt);
+        this.view.apply(res, sentAt);
         return true;
     }
 
--- a/packages/fleet/src/feedpaces.ts
+++ b/packages/fleet/src/feedintervals.ts
@@ -11,6 +11,6 @@
 const maxCpuShare = 0.15;
 
 /** Minimum time between two responses to one entry without urgent changes, in milliseconds. */
-export function ordinaryPaceMs(entries: number): number {
+export function minResponseIntervalMs(entries: number): number {
     return Math.max(batchMs, entries * responseCpuMs / maxCpuShare);
 }
--- a/packages/fleet/src/feeds.ts
+++ b/packages/fleet/src/feeds.ts
@@ -2,11 +2,11 @@
 import { create } from "@bufbuild/protobuf";
 import { type EventLog, Notifier, steadyNow } from "@winchpath/core";
 import { type ConfigurationDocument } from "@winchpath/declarations";
-import { type CrashBook } from "@winchpath/quarantine";
+import { type QuarantineState } from "@winchpath/quarantine";
 import { encodeQuarantine, encodeUpstream } from "./encodings.js";
-import { batchMs, ordinaryPaceMs } from "./feedpaces.js";
+import { batchMs, minResponseIntervalMs } from "./feedintervals.js";
 import { type PollRequest, type PollResponse, PollResponseSchema } from "./gen/winchpath/fleet/v1/fleet_pb.js";
-import { modelName } from "./items.js";
+import { modelMapKey } from "./items.js";
 import { type Registry } from "./registries.js";
 
 /** An entry that has not polled for this long counts as disconnected (three polls). */
@@ -22,16 +22,16 @@
     /** Identity of the leadership; undefined if this replica is not the leader. */
     readonly epoch: string | undefined;
     /** Milliseconds since this replica became the leader. */
-    readonly ledMs: number;
+    readonly leadershipAgeMs: number;
     /** Milliseconds since a majority last confirmed the leadership. */
     readonly quorumAgeMs: number;
     readonly leaderUrl: string;
     readonly controlUrls: readonly string[];
     readonly document: ConfigurationDocument | undefined;
     /** Requests that have crashed upstreams. */
-    readonly quarantine: Pick<CrashBook, "key" | "position" | "since">;
-    /** Models that requests at an entry are waiting for, by {@link modelName}. */
-    awaitedAt(entry: string): ReadonlySet<string>;
+    readonly quarantine: Pick<QuarantineState, "key" | "position" | "changesSince">;
+    /** Models that requests at an entry are waiting for, by {@link modelMapKey}. */
+    awaitedModels(entry: string): ReadonlySet<string>;
     /** Resolves once all previously accepted commands are applied on this replica. */
     barrier(): Promise<void>;
 }
@@ -65,7 +65,7 @@
     ) {}
 
     /** Wakes waiting polls; called after each change of the registry or the document. */
-    public wake(): void {
+    public wakePolls(): void {
         for (const poll of this.waitingPolls) {
             // Polls that only wait for their interval aren't woken, to save CPU in large fleets.
             if (!poll.hasUpdates || this.updateDueMs(poll.req) <= 0) {
@@ -114,7 +114,7 @@
     /** Resolves once every live entry has confirmed `position`, or after `timeoutMs`. */
     public async awaitConfirmation(position: number, timeoutMs: number): Promise<void> {
         const deadline = steadyNow() + timeoutMs;
-        this.wake();
+        this.wakePolls();
         while (steadyNow() < deadline && this.unconfirmedEntries(position).length > 0) {
             await this.confirmed.wait(deadline - steadyNow());
         }
@@ -177,7 +177,7 @@
             return 0;
         }
         const { answeredAt } = this.entries.get(req.entry)!;
-        return answeredAt + ordinaryPaceMs(this.liveEntries) - steadyNow();
+        return answeredAt + minResponseIntervalMs(this.liveEntries) - steadyNow();
     }
 
     /** Whether a delay would misroute requests or keep them waiting. */
@@ -186,10 +186,10 @@
         if (this.registry.urgentPosition > position || this.hasNewerDocument(req) || this.hasNewerQuarantine(req)) {
             return true;
         }
-        const awaited = this.control.awaitedAt(req.entry);
+        const awaited = this.control.awaitedModels(req.entry);
         return awaited.size > 0
-            && this.registry.since(position).changed.some(({ service, models }) =>
-                models.some(({ name, readyInMs }) => readyInMs === 0 && awaited.has(modelName(service, name)))
+            && this.registry.changesSince(position).changed.some(({ service, models }) =>
+                models.some(({ name, readyInMs }) => readyInMs === 0 && awaited.has(modelMapKey(service, name)))
             );
     }
 
@@ -210,7 +210,7 @@
 
     private createResponse(req: PollRequest, epoch: string, isNewEpoch: boolean, startedAt: number): PollResponse {
         const { control } = this;
-        const changes = this.registry.since(isNewEpoch ? -1 : Number(req.position));
+        const changes = this.registry.changesSince(isNewEpoch ? -1 : Number(req.position));
         const document = this.hasNewerDocument(req) ? control.document : undefined;
         const state = this.entries.get(req.entry)!;
         state.polledAt = steadyNow();
@@ -224,12 +224,12 @@
             documentVersion: BigInt(document?.version ?? 0),
             documentText: document?.text ?? "",
             entries: this.liveEntries,
-            complete: control.ledMs > warmUpMs,
+            complete: control.leadershipAgeMs > warmUpMs,
             controlUrls: [...control.controlUrls],
             waitedMs: Math.max(0, state.polledAt - startedAt - 1),
             quorumAgeMs: Math.ceil(control.quorumAgeMs) + 1,
             fingerprintKey: control.quarantine.key,
-            ...encodeQuarantine(control.quarantine.since(isNewEpoch ? 0 : Number(req.quarantinePosition))),
+            ...encodeQuarantine(control.quarantine.changesSince(isNewEpoch ? 0 : Number(req.quarantinePosition))),
         });
     }
 
--- a/packages/fleet/src/services.ts
+++ b/packages/fleet/src/fleetservices.ts
@@ -1,34 +1,34 @@
 /** Implements the fleet service, which entries and other control hosts call. */
 import { Code, ConnectError, type ServiceImpl } from "@connectrpc/connect";
-import { type Allowance, type LimitBook } from "@winchpath/accounts";
-import { type RateLedger } from "@winchpath/availability";
-import { type CrashWatch } from "@winchpath/quarantine";
-import { type AnnouncementDesk } from "./announcements.js";
-import { type DemandBook } from "./demands.js";
+import { type AccountLimitCoordinator, type Allowance } from "@winchpath/accounts";
+import { type RateLimitCoordinator } from "@winchpath/availability";
+import { type CrashMonitor } from "@winchpath/quarantine";
+import { type AnnouncementReceiver } from "./announcements.js";
+import { type DemandTracker } from "./demands.js";
 import { type Feed } from "./feeds.js";
 import { type DemandRequest, type FleetService } from "./gen/winchpath/fleet/v1/fleet_pb.js";
 import { type OrderLease } from "./orderleases.js";
-import { decodeRate } from "./upstreamrates.js";
+import { decodeRate } from "./rateencodings.js";
 
 export interface FleetServiceDependencies {
     readonly feed: Pick<Feed, "poll" | "liveEntries">;
-    readonly desk: AnnouncementDesk;
-    readonly demand: Pick<DemandBook, "take">;
+    readonly announcements: AnnouncementReceiver;
+    readonly demand: Pick<DemandTracker, "take">;
     readonly lease: Pick<OrderLease, "yieldTo">;
-    readonly leads: () => boolean;
+    readonly isLeader: () => boolean;
     /** Called after a demand report has been recorded. */
-    readonly demanded: (report: DemandRequest) => void;
+    readonly onDemandReport: (report: DemandRequest) => void;
     /** Receives usage counts of client accounts. */
-    readonly limits: Pick<LimitBook, "take">;
+    readonly limits: Pick<AccountLimitCoordinator, "processCounts">;
     /** Receives upstream rate limits known to entries. */
-    readonly rates: Pick<RateLedger, "take">;
+    readonly rates: Pick<RateLimitCoordinator, "processReports">;
     /** The crash watch of the current leadership; undefined if this host is not the leader. */
-    readonly crashes: () => Pick<CrashWatch, "take"> | undefined;
+    readonly crashWatch: () => Pick<CrashMonitor, "addReports"> | undefined;
 }
 
-export function fleetService(deps: FleetServiceDependencies): ServiceImpl<typeof FleetService> {
+export function createFleetService(deps: FleetServiceDependencies): ServiceImpl<typeof FleetService> {
     const checkLeads = () => {
-        if (!deps.leads()) {
+        if (!deps.isLeader()) {
             throw new ConnectError("not the leader", Code.FailedPrecondition);
         }
     };
@@ -39,30 +39,30 @@
             if (req.announcement?.upstream === undefined) {
                 throw new ConnectError("the announcement has no upstream", Code.InvalidArgument);
             }
-            await deps.desk.announceLocally(req.announcement);
+            await deps.announcements.announceLocally(req.announcement);
             return {};
         },
         reaffirm: req => {
             checkLeads();
-            return { unknown: deps.desk.reaffirmLocally(req.upstreams) };
+            return { unknown: deps.announcements.reaffirmLocally(req.upstreams) };
         },
         leave: async req => {
             checkLeads();
-            await deps.desk.leaveLocally(req);
+            await deps.announcements.leaveLocally(req);
             return {};
         },
         reportDemand: req => {
             checkLeads();
             deps.demand.take(req);
-            deps.demanded(req);
+            deps.onDemandReport(req);
             return { allowances: grantAllowances(deps, req), permits: grantPermits(deps, req) };
         },
         reportCrashes: req => {
-            const crashes = deps.crashes();
+            const crashes = deps.crashWatch();
             if (crashes === undefined) {
                 throw new ConnectError("not the leader", Code.FailedPrecondition);
             }
-            crashes.take(req.entry, req.sights, req.endedWell);
+            crashes.addReports(req.entry, req.sights, req.endedWell);
             return {};
         },
         yieldOrders: req => {
@@ -73,7 +73,7 @@
 }
 
 function grantPermits({ rates }: FleetServiceDependencies, req: DemandRequest) {
-    return rates.take(req.entry, req.rates.map(decodeRate)).map(grant => ({
+    return rates.processReports(req.entry, req.rates.map(decodeRate)).map(grant => ({
         ...grant,
         lifeMs: Math.round(grant.lifeMs),
         dryMs: Math.ceil(grant.dryMs),
@@ -89,7 +89,7 @@
         credit: Number(credit),
         waiting: Number(waiting),
     }));
-    const allowances = deps.limits.take({
+    const allowances = deps.limits.processCounts({
         entry,
         process: Number(process),
         counts,
--- a/packages/fleet/src/views.ts
+++ b/packages/fleet/src/fleetviews.ts
@@ -1,10 +1,10 @@
 /** An entry's copy of the upstreams and the configuration, which stays usable while no leader is reachable. */
-import { AvailabilityBook } from "@winchpath/availability";
+import { AvailabilityTracker } from "@winchpath/availability";
 import { type EventLog, Notifier, steadyNow } from "@winchpath/core";
 import { QuarantineList } from "@winchpath/quarantine";
 import { decodeQuarantine, decodeUpstream } from "./encodings.js";
 import { type PollResponse, type Upstream, UpstreamState } from "./gen/winchpath/fleet/v1/fleet_pb.js";
-import { succeeds } from "./incarnations.js";
+import { supersedes } from "./incarnations.js";
 
 /** Parses a configuration document. Logs the reason and returns undefined if the document is invalid. */
 export type DocumentReader<C> = (text: string, version: number) => C | undefined;
@@ -26,7 +26,7 @@
     public constructor(
         private readonly readDocument: DocumentReader<C>,
         private readonly log: EventLog,
-        public readonly availability = new AvailabilityBook(),
+        public readonly availability = new AvailabilityTracker(),
     ) {}
 
     public get configuration(): C | undefined {
@@ -78,13 +78,13 @@
     }
 
     /** Applies a response of the leader; `sentAt`: monotonic time at which the request was sent. */
-    public take(res: PollResponse, sentAt = Number.NEGATIVE_INFINITY): void {
+    public apply(res: PollResponse, sentAt = Number.NEGATIVE_INFINITY): void {
         this.lastResponseAt = steadyNow();
         this.liveEntries = Math.max(1, res.entries);
-        this.quarantine.takeKey(res.fingerprintKey);
-        this.quarantine.take(decodeQuarantine(res));
+        this.quarantine.setKey(res.fingerprintKey);
+        this.quarantine.applyChanges(decodeQuarantine(res));
         // Kept across leaders: the next one may accept a delayed announcement of such an upstream.
-        res.left.forEach(id => this.availability.leaves(id));
+        res.left.forEach(id => this.availability.markDraining(id));
         res.removed.forEach(id => this.removeReported(id, res.epoch));
         res.changed.forEach(bytes => this.update(decodeUpstream(bytes), res.epoch));
         if (res.complete) {
@@ -101,21 +101,21 @@
     }
 
     private update(upstream: Upstream, epoch: string): void {
-        const holder = this.named(upstream.name);
-        if (holder !== undefined && succeeds(holder, upstream)) {
+        const holder = this.getByName(upstream.name);
+        if (holder !== undefined && supersedes(holder, upstream)) {
             // A new leader may have received a delayed announcement of an earlier incarnation.
             return;
         }
         const before = this.upstreamsById.get(upstream.id);
         if (upstream.state === UpstreamState.DRAINING) {
-            this.availability.leaves(upstream.id);
+            this.availability.markDraining(upstream.id);
         }
-        else if (this.availability.isLeaving(upstream.id)) {
+        else if (this.availability.isDraining(upstream.id)) {
             // The leader may not know yet that the upstream drains, or may have removed it in the meantime.
             upstream.state = UpstreamState.DRAINING;
         }
         if (upstream.limited) {
-            this.availability.rates.told(upstream.id);
+            this.availability.rates.recordKnownLimit(upstream.id);
         }
         if (before?.upstream.state !== upstream.state) {
             this.log.info("upstream.known", {
@@ -131,7 +131,7 @@
     }
 
     /** The current incarnation of a name. */
-    public named(name: string): Upstream | undefined {
+    public getByName(name: string): Upstream | undefined {
         return this.get(this.idOfName.get(name) ?? "");
     }
 
--- a/packages/fleet/src/heldmodels.ts
+++ b/packages/fleet/src/heldmodels.ts
@@ -1,7 +1,7 @@
 /** Helpers for lists of the models that an engine holds. */
 import { type HeldModel } from "./gen/winchpath/fleet/v1/fleet_pb.js";
 import { type EngineOrder } from "./orders.js";
-import { heldModel } from "./registries.js";
+import { createHeldModel } from "./registries.js";
 
 /** Whether an order unloads an adapter, and not a whole model. */
 export function isAdapterUnload({ kind, adapter }: EngineOrder): boolean {
@@ -9,12 +9,12 @@
 }
 
 /** Name of an order's adapter, as "model/adapter". */
-export function adapterName({ model, adapter }: EngineOrder): string {
+export function qualifiedAdapterName({ model, adapter }: EngineOrder): string {
     return `${model}/${adapter}`;
 }
 
 /** Names of all adapters that are held, as "model/adapter". */
-export function heldAdapters({ models }: { readonly models: readonly HeldModel[]; }): string[] {
+export function heldAdapterNames({ models }: { readonly models: readonly HeldModel[]; }): string[] {
     return models.flatMap(model => model.adapters.map(adapter => `${model.name}/${adapter}`));
 }
 
@@ -23,10 +23,10 @@
     const held = models.find(model => model.name === order.model);
     if (order.adapter === "") {
         if (order.kind === "unload") {
-            remove(models, order.model, () => true);
+            removeModel(models, order.model, () => true);
         }
         else if (held === undefined) {
-            models.push(heldModel(order.model, 0));
+            models.push(createHeldModel(order.model, 0));
         }
         else {
             held.readyInMs = 0;
@@ -42,7 +42,7 @@
 }
 
 /** Removes the model with the given name from a list, if it meets a condition. */
-export function remove(models: HeldModel[], name: string, condition: (held: HeldModel) => boolean): void {
+export function removeModel(models: HeldModel[], name: string, condition: (held: HeldModel) => boolean): void {
     const index = models.findIndex(model => model.name === name && condition(model));
     if (index !== -1) {
         models.splice(index, 1);
--- a/packages/fleet/src/incarnations.ts
+++ b/packages/fleet/src/incarnations.ts
@@ -21,7 +21,7 @@
 }
 
 /** Whether `incarnation` is a later run of the same name than `other`. */
-export function succeeds(incarnation: Incarnation, other: Incarnation): boolean {
+export function supersedes(incarnation: Incarnation, other: Incarnation): boolean {
     return incarnation.name === other.name && incarnation.born > other.born;
 }
 
@@ -35,7 +35,7 @@
 export class EndedIncarnations {
     private readonly byName = new Map<string, EndedRun>();
 
-    public end({ name, born }: Incarnation): void {
+    public markEnded({ name, born }: Incarnation): void {
         const known = this.byName.get(name);
         this.byName.set(name, {
             born: known === undefined || born > known.born ? born : known.born,
@@ -53,7 +53,7 @@
         return this.byName.has(name);
     }
 
-    public forgetOld(): void {
+    public removeExpired(): void {
         const limit = steadyNow() - retentionMs;
         for (const [name, { endedAt }] of this.byName) {
             if (endedAt < limit) {
--- a/packages/fleet/src/index.ts
+++ b/packages/fleet/src/index.ts
@@ -1,10 +1,13 @@
+export * from "./announcementbatchers.js";
 export * from "./announcements.js";
 export * from "./crashreports.js";
 export * from "./demands.js";
+export * from "./drainreports.js";
 export * from "./encodings.js";
+export * from "./feedfollowers.js";
 export * from "./feeds.js";
-export * from "./followers.js";
-export * from "./gatherers.js";
+export * from "./fleetservices.js";
+export * from "./fleetviews.js";
 export {
     type AccountAllowance,
     type AccountUse,
@@ -23,20 +26,17 @@
     UpstreamSchema,
     UpstreamState,
 } from "./gen/winchpath/fleet/v1/fleet_pb.js";
-export * from "./healths.js";
-export * from "./healthwatches.js";
 export * from "./incarnations.js";
 export * from "./items.js";
-export * from "./leavers.js";
 export * from "./meters.js";
+export * from "./orderdispatchers.js";
 export * from "./orderleases.js";
-export * from "./orderlines.js";
 export * from "./orders.js";
+export * from "./outlierdetectors.js";
+export * from "./outliermonitors.js";
 export * from "./placements.js";
 export * from "./plans.js";
 export * from "./planstates.js";
+export * from "./rateencodings.js";
 export * from "./registries.js";
-export * from "./services.js";
-export * from "./storepaces.js";
-export * from "./upstreamrates.js";
-export * from "./views.js";
+export * from "./storeloadlimiters.js";
--- a/packages/fleet/src/items.ts
+++ b/packages/fleet/src/items.ts
@@ -8,11 +8,11 @@
 }
 
 /** Map key of a service's model. */
-export function modelName(service: string, model: string): string {
+export function modelMapKey(service: string, model: string): string {
     return `${service}/${model}`;
 }
 
 /** Map key of an item. */
-export function itemName(key: ItemKey): string {
+export function itemMapKey(key: ItemKey): string {
     return `${key.service}/${key.model}/${key.adapter}`;
 }
--- a/packages/fleet/src/modelvalues.ts
+++ b/packages/fleet/src/loadscorers.ts
@@ -3,7 +3,7 @@
  * what they evict and delay.
  */
 import { type EngineModel } from "@winchpath/declarations";
-import { type PlannedEngine } from "./plans.js";
+import { type EngineSnapshot } from "./plans.js";
 import { type ModelNeed, type PlanState } from "./planstates.js";
 
 /** Current demand is assumed to last this long, in milliseconds. */
@@ -40,7 +40,7 @@
 
 /** A load on an engine, with the model that it replaces, if any. */
 export interface LoadOption {
-    readonly engine: PlannedEngine;
+    readonly engine: EngineSnapshot;
     readonly victim: ModelNeed | undefined;
     /** Requests saved less requests lost; the load is worthwhile if it is positive. */
     readonly netBenefit: number;
@@ -72,7 +72,7 @@
     }
 
     /** The best way to add a replica of a model on one engine; undefined if no model can be evicted for it. */
-    public bestOption(engine: PlannedEngine, need: ModelNeed): LoadOption | undefined {
+    public bestOption(engine: EngineSnapshot, need: ModelNeed): LoadOption | undefined {
         const loadMs = loadDurationMs(engine, need.model);
         if (this.state.fits(engine, need.model.sizeMb)) {
             return { engine, victim: undefined, netBenefit: this.netLoadBenefit(engine, need, undefined, loadMs) };
@@ -94,7 +94,7 @@
 
     /** Requests that a load saves, less those lost while its engine is busy for `busyMs`. */
     private netLoadBenefit(
-        engine: PlannedEngine,
+        engine: EngineSnapshot,
         need: ModelNeed,
         victim: ModelNeed | undefined,
         busyMs: number,
@@ -125,9 +125,9 @@
     }
 
     /** Models of an engine each of which frees enough memory when unloaded. */
-    private evictionCandidates(engine: PlannedEngine, replacement: ModelNeed): ModelNeed[] {
+    private evictionCandidates(engine: EngineSnapshot, replacement: ModelNeed): ModelNeed[] {
         return [...engine.models]
-            .filter(([, held]) => held.ready && !held.leaving)
+            .filter(([, held]) => held.isReady && !held.isLeaving)
             .flatMap(([name]) => this.state.modelNeed(name) ?? [])
             .filter(({ model }) => this.state.fits(engine, replacement.model.sizeMb - model.sizeMb));
     }
@@ -146,7 +146,7 @@
     }
 
     /** Requests that are lost when an engine evicts a model and is busy for `busyMs`. */
-    private evictionCost(engine: PlannedEngine, victim: ModelNeed, busyMs: number): number {
+    private evictionCost(engine: EngineSnapshot, victim: ModelNeed, busyMs: number): number {
         const { name } = victim.model;
         const remaining = this.state.readyReplicas(name) - 1;
         if (remaining > 0) {
@@ -161,7 +161,7 @@
     }
 
     /** Shortest time in which any engine but `except` can load a model. */
-    private reloadMs(model: EngineModel, except?: PlannedEngine): number {
+    private reloadMs(model: EngineModel, except?: EngineSnapshot): number {
         const times = this.reloadTimes(model);
         return except === undefined || times.fastestEngine !== except ? times.fastestMs : times.secondFastestMs;
     }
@@ -176,7 +176,7 @@
     }
 
     /** Requests that a load delays or causes to fail on its engine. */
-    private interferenceCost(engine: PlannedEngine, loadMs: number): number {
+    private interferenceCost(engine: EngineSnapshot, loadMs: number): number {
         let rate = 0;
         for (const name of engine.models.keys()) {
             const need = this.state.modelNeed(name);
@@ -186,7 +186,7 @@
     }
 
     /** Requests a second for adapters that are not loaded, of models with no other ready replica. */
-    private adapterMissRate(engine: PlannedEngine): number {
+    private adapterMissRate(engine: EngineSnapshot): number {
         let rate = 0;
         for (const [name, held] of engine.models) {
             const need = this.state.modelNeed(name);
@@ -201,7 +201,7 @@
 
     /** The part of a benefit that is left when the engine also serves its other models. */
     private attainableBenefit(
-        engine: PlannedEngine,
+        engine: EngineSnapshot,
         need: ModelNeed,
         victim: ModelNeed | undefined,
         benefit: number,
@@ -239,13 +239,13 @@
 
 /** Time to load a model on the fastest engine, and on the fastest of all others. */
 interface ReloadTimes {
-    readonly fastestEngine: PlannedEngine | undefined;
+    readonly fastestEngine: EngineSnapshot | undefined;
     readonly fastestMs: number;
     readonly secondFastestMs: number;
 }
 
-function computeReloadTimes(model: EngineModel, engines: readonly PlannedEngine[]): ReloadTimes {
-    let bestEngine: PlannedEngine | undefined;
+function computeReloadTimes(model: EngineModel, engines: readonly EngineSnapshot[]): ReloadTimes {
+    let bestEngine: EngineSnapshot | undefined;
     let bestMs = model.loadMs;
     let secondMs = model.loadMs;
     for (const engine of engines) {
@@ -263,7 +263,7 @@
 }
 
 /** Time that an engine takes to load a model from the fastest available source: host memory, disk or store. */
-export function loadDurationMs(engine: PlannedEngine, model: EngineModel): number {
+export function loadDurationMs(engine: EngineSnapshot, model: EngineModel): number {
     if (engine.inMemory.has(model.name)) {
         return model.memoryLoadMs;
     }
--- a/packages/fleet/src/meters.ts
+++ b/packages/fleet/src/meters.ts
@@ -1,10 +1,12 @@
 /** Counts the requests that arrive at an entry, and reports them to the leader. */
 import { clone, create } from "@bufbuild/protobuf";
 import { type AccountCounts, type Allowance } from "@winchpath/accounts";
-import { AvailabilityBook } from "@winchpath/availability";
+import { AvailabilityTracker } from "@winchpath/availability";
 import { type EventLog, messageOf, Notifier, sleep, steadyNow } from "@winchpath/core";
 import { type PeerClients } from "@winchpath/rpc";
-import { ordinaryPaceMs } from "./feedpaces.js";
+import { DemandHistory } from "./demandhistories.js";
+import { DrainReports } from "./drainreports.js";
+import { minResponseIntervalMs } from "./feedintervals.js";
 import {
     type AccountAllowance,
     FleetService,
@@ -12,10 +14,8 @@
     ItemDemandSchema,
     type Mismatch,
 } from "./gen/winchpath/fleet/v1/fleet_pb.js";
-import { type ItemKey, itemName, modelName } from "./items.js";
-import { ToldLeavers } from "./leavers.js";
-import { DemandHistory } from "./pastdemands.js";
-import { encodeRate } from "./upstreamrates.js";
+import { type ItemKey, itemMapKey, modelMapKey } from "./items.js";
+import { encodeRate } from "./rateencodings.js";
 
 /** Interval between regular reports, in milliseconds. */
 const reportMs = 500;
@@ -30,7 +30,7 @@
 /** Counts the usage of client accounts and applies the leader's allowances. */
 export interface AccountMeter {
     counts(): AccountCounts[];
-    take(counts: readonly AccountCounts[], allowances: readonly Allowance[]): void;
+    applyAllowances(counts: readonly AccountCounts[], allowances: readonly Allowance[]): void;
 }
 
 /** The leader that an entry currently follows. */
@@ -59,7 +59,7 @@
     private mismatches: Mismatch[] = [];
     private readonly unreachable = new Set<string>();
     private readonly outcomes = new Map<string, { readonly upstream: string; served: number; failed: number; }>();
-    private readonly leavingUpstreams: ToldLeavers;
+    private readonly leavingUpstreams: DrainReports;
     private readonly urgent = new Notifier();
     /** Steady time of the last report. */
     private reportedAt = Number.NEGATIVE_INFINITY;
@@ -75,12 +75,12 @@
     private pendingWake: NodeJS.Timeout | undefined;
 
     /** @param availability source of departing upstreams and upstream rates, which are reported to the leader */
-    public constructor(private readonly log: EventLog, private readonly availability = new AvailabilityBook()) {
-        this.leavingUpstreams = new ToldLeavers(availability);
+    public constructor(private readonly log: EventLog, private readonly availability = new AvailabilityTracker()) {
+        this.leavingUpstreams = new DrainReports(availability);
     }
 
     /** Includes the usage of client accounts in reports. */
-    public tellOf(accounts: AccountMeter): void {
+    public includeAccounts(accounts: AccountMeter): void {
         this.accounts = accounts;
     }
 
@@ -89,8 +89,8 @@
      *
      * @param entries number of reporting entries; the more there are, the longer the delay, which limits the leader's load
      */
-    public press(entries: number): void {
-        const dueMs = Math.max(0, this.reportedAt + ordinaryPaceMs(entries) - steadyNow());
+    public reportSoon(entries: number): void {
+        const dueMs = Math.max(0, this.reportedAt + minResponseIntervalMs(entries) - steadyNow());
         this.pendingWake ??= setTimeout(() => this.urgent.notify(), dueMs);
     }
 
@@ -111,12 +111,12 @@
     }
 
     /** A request started waiting because no upstream holds its model or adapter. */
-    public waits(key: ItemKey): void {
+    public waitStarted(key: ItemKey): void {
         this.itemFor(key).waiting += 1;
         this.urgent.notify();
     }
 
-    public waitsNoMore(key: ItemKey): void {
+    public waitEnded(key: ItemKey): void {
         this.itemFor(key).waiting -= 1;
     }
 
@@ -127,7 +127,7 @@
     }
 
     /** An upstream reported that it does not hold a model or adapter that it is listed with. */
-    public mismatch(mismatch: Mismatch): void {
+    public recordMismatch(mismatch: Mismatch): void {
         if (this.mismatches.length < maxMismatches) {
             this.mismatches.push(mismatch);
             this.urgent.notify();
@@ -135,7 +135,7 @@
     }
 
     /** A connection to an upstream was refused or timed out. */
-    public missed(upstream: string): void {
+    public connectionFailed(upstream: string): void {
         this.unreachable.add(upstream);
         this.urgent.notify();
     }
@@ -146,7 +146,7 @@
     }
 
     /** A request ended at an upstream; failures are reported soon. */
-    public outcome(upstream: string, failed: boolean): void {
+    public recordOutcome(upstream: string, failed: boolean): void {
         let counts = this.outcomes.get(upstream);
         if (counts === undefined) {
             counts = { upstream, served: 0, failed: 0 };
@@ -162,8 +162,8 @@
     }
 
     /** Records how many prompt tokens per second a service's engines process for a model. */
-    public paceOf(service: string, model: string, tokensPerSecond: number): void {
-        this.throughputs.set(modelName(service, model), { service, model, tokensPerSecond, isUnreported: true });
+    public recordThroughput(service: string, model: string, tokensPerSecond: number): void {
+        this.throughputs.set(modelMapKey(service, model), { service, model, tokensPerSecond, isUnreported: true });
     }
 
     /** Reports to the leader until the signal is aborted. */
@@ -193,8 +193,8 @@
         const { mismatches } = this;
         const unreachable = [...this.unreachable];
         const outcomes = [...this.outcomes.values()];
-        const leaving = this.leavingUpstreams.toTell(epoch);
-        const rates = this.availability.rates.reports(epoch);
+        const leaving = this.leavingUpstreams.unreportedTo(epoch);
+        const rates = this.availability.rates.createReports(epoch);
         this.resetCounts();
         const askedAt = steadyNow();
         this.reportedAt = askedAt;
@@ -221,9 +221,9 @@
             };
             const res = await clients.client(FleetService, url).reportDemand(req, { timeoutMs: reportTimeoutMs });
             this.reportedEpoch = epoch;
-            this.leavingUpstreams.told(leaving, epoch);
-            this.accounts?.take(counts, res.allowances.map(decodeAllowance));
-            this.availability.rates.answered(rates, res.permits, { epoch, askedAt });
+            this.leavingUpstreams.markReported(leaving, epoch);
+            this.accounts?.applyAllowances(counts, res.allowances.map(decodeAllowance));
+            this.availability.rates.applyGrants(rates, res.permits, { epoch, askedAt });
         }
         catch (err) {
             // The next report carries the current gauges; losing one interval's arrivals is tolerable.
@@ -245,9 +245,10 @@
     }
 
     private hasUnreported(epoch: string): boolean {
-        return this.availability.rates.hasNews(epoch) || this.items.size > 0 || this.mismatches.length > 0
+        return this.availability.rates.hasReports(epoch) || this.items.size > 0 || this.mismatches.length > 0
             || this.unreachable.size > 0
-            || this.outcomes.size > 0 || this.leavingUpstreams.hasNews || (this.accounts?.counts().length ?? 0) > 0;
+            || this.outcomes.size > 0 || this.leavingUpstreams.hasUnreported
+            || (this.accounts?.counts().length ?? 0) > 0;
     }
 
     private resetCounts(): void {
@@ -266,7 +267,7 @@
     }
 
     private itemFor(key: ItemKey): ItemDemand {
-        const name = itemName(key);
+        const name = itemMapKey(key);
         let item = this.items.get(name);
         if (item === undefined) {
             item = create(ItemDemandSchema, key);
--- a/packages/fleet/src/orderlines.ts
+++ b/packages/fleet/src/orderdispatchers.ts
@@ -2,9 +2,9 @@
 import { clone } from "@bufbuild/protobuf";
 import { type EventLog, sleep, steadyNow } from "@winchpath/core";
 import { type HeldModel, HeldModelSchema, type Upstream } from "./gen/winchpath/fleet/v1/fleet_pb.js";
-import { adapterName, applyOrder, heldAdapters, isAdapterUnload, remove } from "./heldmodels.js";
-import { describeOrder, type EngineCalls, type EngineOrder, type Fence, OrderReply } from "./orders.js";
-import { heldModel, type Registry } from "./registries.js";
+import { applyOrder, heldAdapterNames, isAdapterUnload, qualifiedAdapterName, removeModel } from "./heldmodels.js";
+import { describeOrder, type EngineClient, type EngineOrder, type Fence, OrderReply } from "./orders.js";
+import { createHeldModel, type Registry } from "./registries.js";
 
 /** Delay before an unanswered order is sent again, in milliseconds. */
 const retryDelayMs = 300;
@@ -30,21 +30,21 @@
 const maxConcurrentAdapterLoads = 4;
 
 /** Callbacks of an order dispatcher. */
-export interface OrderLineOwner {
+export interface OrderDispatcherOwner {
     /** The fence for the next order; undefined once this host may no longer send orders. */
     fence(): Fence | undefined;
     /** Called before each order is sent. */
-    gave(): void;
+    onOrderSent(): void;
     /** Called when the engine refuses connections. */
-    unreachable(upstream: string): void;
+    onUnreachable(upstream: string): void;
     /** Called when the engine has seen a higher fencing token. */
-    fenced(upstream: string): void;
+    onFenced(upstream: string): void;
     /** Called when the engine's models or adapters change, or when it can take another order. */
-    settled(): void;
+    onChange(): void;
 }
 
 /** Sends orders to one engine. Model orders run one at a time; adapter orders may overlap. */
-export class OrderLine {
+export class OrderDispatcher {
     /** Models being loaded. */
     private readonly loading = new Set<string>();
     /** Adapters being loaded, as "model/adapter". */
@@ -65,18 +65,18 @@
     public constructor(
         private readonly id: string,
         private readonly registry: Registry,
-        private readonly calls: EngineCalls,
-        private readonly owner: OrderLineOwner,
+        private readonly calls: EngineClient,
+        private readonly owner: OrderDispatcherOwner,
         private readonly log: EventLog,
     ) {}
 
     /** Whether the next order can be sent. */
-    public get free(): boolean {
+    public get isReady(): boolean {
         return !this.occupied && !this.stopped && this.expected !== undefined;
     }
 
     /** Whether the engine has ever reported to this dispatcher that no model order was in progress. */
-    public get seenIdle(): boolean {
+    public get hasSeenIdle(): boolean {
         return this.hasReadReport;
     }
 
@@ -85,26 +85,26 @@
     }
 
     /** Adapters being loaded, as "model/adapter". */
-    public get adaptersUnderWay(): ReadonlySet<string> {
+    public get loadingAdapters(): ReadonlySet<string> {
         return this.transits;
     }
 
     /** Adapters being unloaded, as "model/adapter". They occupy their slots until their last request ends. */
-    public get adaptersLeaving(): ReadonlySet<string> {
+    public get unloadingAdapters(): ReadonlySet<string> {
         return this.departures;
     }
 
-    public get freeTransits(): number {
-        return this.free ? maxConcurrentAdapterLoads - this.transits.size : 0;
+    public get availableAdapterLoads(): number {
+        return this.isReady ? maxConcurrentAdapterLoads - this.transits.size : 0;
     }
 
     /** Stops sending orders. */
-    public end(): void {
+    public stop(): void {
         this.stopped = true;
     }
 
     /** Reads the models and adapters that the engine holds, and how many orders it has accepted. */
-    public async sync(): Promise<void> {
+    public async refresh(): Promise<void> {
         const upstream = this.upstream;
         if (upstream === undefined || this.occupied) {
             return;
@@ -115,12 +115,12 @@
         }
         finally {
             this.occupied = false;
-            this.owner.settled();
+            this.owner.onChange();
         }
     }
 
     /** Executes an order; resolves once the engine can take another. */
-    public async give(order: EngineOrder, expectedMs: number): Promise<void> {
+    public async execute(order: EngineOrder, expectedMs: number): Promise<void> {
         this.occupied = true;
         if (order.kind === "load" && order.adapter === "") {
             // Listed before it is accepted, so that the planner does not load it on another engine as well.
@@ -132,7 +132,7 @@
         finally {
             this.loading.delete(order.model);
             this.occupied = false;
-            this.owner.settled();
+            this.owner.onChange();
         }
     }
 
@@ -150,7 +150,7 @@
                     this.updateExpected(order);
                     await this.trackCompletion(order, expectedMs);
                     return;
-                case OrderReply.holds:
+                case OrderReply.done:
                     if (isAdapterUnload(order)) {
                         // An unused adapter is unloaded at once, and the engine counts that as an order.
                         this.updateExpected(order);
@@ -183,7 +183,7 @@
      * to count. The count must never be too high: a late copy could then be accepted in a state it was not planned for.
      */
     private updateExpected(order: EngineOrder): void {
-        const isCounted = !isAdapterUnload(order) || this.loaded.delete(adapterName(order));
+        const isCounted = !isAdapterUnload(order) || this.loaded.delete(qualifiedAdapterName(order));
         // A failed adapter load may have cleared the count while this order was in flight.
         this.expected = isCounted && this.expected !== undefined ? this.expected + 1 : undefined;
     }
@@ -191,7 +191,7 @@
     /** Waits while the engine has asked this host to back off. */
     private async waitForBackoff(): Promise<void> {
         for (let upstream = this.upstream; upstream !== undefined; upstream = this.upstream) {
-            const ms = this.calls.restMs(upstream);
+            const ms = this.calls.backoffMs(upstream);
             if (ms <= 0) {
                 return;
             }
@@ -207,25 +207,25 @@
             return OrderReply.refused;
         }
         const sentAt = steadyNow();
-        this.owner.gave();
-        const reply = await this.calls.order(upstream, order, this.expected, fence);
+        this.owner.onOrderSent();
+        const reply = await this.calls.sendOrder(upstream, order, this.expected, fence);
         this.lastReplyAt = steadyNow();
         this.log.info("order.sent", {
             upstream: this.id,
             order: describeOrder(order),
             expected: this.expected,
             token: fence.token,
-            held: heldAdapters(upstream).length,
+            held: heldAdapterNames(upstream).length,
             underWay: this.transits.size,
             leaving: this.departures.size,
             reply,
             tookMs: Math.round(steadyNow() - sentAt),
         });
         if (reply === OrderReply.fenced) {
-            this.owner.fenced(this.id);
+            this.owner.onFenced(this.id);
         }
         if (reply === OrderReply.unreachable) {
-            this.owner.unreachable(this.id);
+            this.owner.onUnreachable(this.id);
         }
         return reply;
     }
@@ -248,7 +248,7 @@
         const deadline = steadyNow() + expectedMs * modelTimeoutFactor + modelTimeoutFactor * 1000;
         if (order.kind === "load") {
             // Tells entries when the model will be ready, so that they can hold or reject requests for it.
-            this.updateModels(models => models.push(heldModel(order.model, expectedMs + minModelPollMs)));
+            this.updateModels(models => models.push(createHeldModel(order.model, expectedMs + minModelPollMs)));
         }
         await sleep(expectedMs);
         let pollMs = minModelPollMs;
@@ -256,7 +256,7 @@
             await sleep(pollMs);
             pollMs = Math.min(maxModelPollMs, pollMs * modelPollGrowth);
             const reply = await this.send(order);
-            if (reply === OrderReply.holds) {
+            if (reply === OrderReply.done) {
                 this.recordCompletion(order);
                 return;
             }
@@ -265,14 +265,14 @@
                 break;
             }
         }
-        this.updateModels(models => remove(models, order.model, held => held.readyInMs > 0));
+        this.updateModels(models => removeModel(models, order.model, held => held.readyInMs > 0));
         this.expected = undefined;
     }
 
     private async trackAdapterLoad(order: EngineOrder): Promise<void> {
-        const name = adapterName(order);
+        const name = qualifiedAdapterName(order);
         this.transits.add(name);
-        this.owner.settled();
+        this.owner.onChange();
         if (await this.waitForAdapterLoad(order)) {
             this.loaded.add(name);
             this.recordCompletion(order);
@@ -282,7 +282,7 @@
             this.expected = undefined;
         }
         this.transits.delete(name);
-        this.owner.settled();
+        this.owner.onChange();
     }
 
     /** Polls an accepted adapter load; returns whether it has completed. */
@@ -294,7 +294,7 @@
                 await sleep(busyPollMs);
             }
             const reply = await this.send(order);
-            if (reply === OrderReply.holds) {
+            if (reply === OrderReply.done) {
                 return true;
             }
             if (isFinal(reply)) {
@@ -306,15 +306,15 @@
 
     /** Tracks an adapter unload that waits for running requests; its slot is free once the engine replies `done`. */
     private async trackAdapterUnload(order: EngineOrder): Promise<void> {
-        const name = adapterName(order);
+        const name = qualifiedAdapterName(order);
         this.log.info("adapter.leaving", { upstream: this.id, adapter: name });
         this.departures.add(name);
         this.updateModels(models => applyOrder(models, order));
-        this.owner.settled();
+        this.owner.onChange();
         await this.waitForAdapterUnload(order);
         this.departures.delete(name);
         this.log.info("adapter.left", { upstream: this.id, adapter: name });
-        this.owner.settled();
+        this.owner.onChange();
     }
 
     /** Resolves once the adapter or its model is unloaded, or this dispatcher has stopped. */
@@ -326,7 +326,7 @@
             if (!this.holdsModel(order.model)) {
                 return;
             }
-            if (this.free && await this.isUnloaded(order)) {
+            if (this.isReady && await this.isUnloaded(order)) {
                 return;
             }
         }
@@ -338,7 +338,7 @@
             // The engine has accepted orders from another sender: read its state before the next order.
             this.expected = undefined;
         }
-        return reply === OrderReply.holds;
+        return reply === OrderReply.done;
     }
 
     private holdsModel(model: string): boolean {
@@ -352,7 +352,7 @@
     private recordCompletion(order: EngineOrder): void {
         this.log.info("order.done", { upstream: this.id, order: describeOrder(order) });
         this.updateModels(models => applyOrder(models, order));
-        this.owner.settled();
+        this.owner.onChange();
     }
 
     private updateModels(edit: (models: HeldModel[]) => void): void {
@@ -377,7 +377,7 @@
         // A report from before the last order took effect would overstate the free capacity.
         await sleep(Math.max(0, this.lastReplyAt + maxReportAgeMs - steadyNow()));
         await this.waitForBackoff();
-        const report = await this.calls.report(upstream);
+        const report = await this.calls.fetchReport(upstream);
         if (report === undefined) {
             return;
         }
@@ -394,7 +394,7 @@
             upstream: this.id,
             orders: report.orders,
             models: report.models.map(model => model.name),
-            adapters: heldAdapters(report),
+            adapters: heldAdapterNames(report),
         });
     }
 
--- a/packages/fleet/src/orderleases.ts
+++ b/packages/fleet/src/orderleases.ts
@@ -24,12 +24,12 @@
     public constructor(private readonly leaseMs: () => number, private readonly log: EventLog) {}
 
     /** Whether orders may be sent under a token. */
-    public isOpen(token: number): boolean {
+    public isGranted(token: number): boolean {
         return this.grantedToken === token && token >= this.highestToken;
     }
 
     /** Records that an order is being sent. */
-    public gave(): void {
+    public recordOrder(): void {
         this.lastOrderAt = steadyNow();
     }
 
--- a/packages/fleet/src/orders.ts
+++ b/packages/fleet/src/orders.ts
@@ -19,7 +19,7 @@
     /** The order is in progress. */
     accepted: "accepted",
     /** The requested state is already reached. */
-    holds: "holds",
+    done: "holds",
     /** Another order is in progress, or the engine has not accepted the expected number of orders. */
     conflict: "conflict",
     /** The engine has seen a higher fencing token. */
@@ -43,12 +43,12 @@
 }
 
 /** Client for engines. Its methods don't reject: failures are part of the result. */
-export interface EngineCalls {
-    order(upstream: Upstream, order: EngineOrder, expected: number, fence: Fence): Promise<OrderReply>;
+export interface EngineClient {
+    sendOrder(upstream: Upstream, order: EngineOrder, expected: number, fence: Fence): Promise<OrderReply>;
     /** Returns undefined if no report could be fetched. */
-    report(upstream: Upstream): Promise<EngineReport | undefined>;
+    fetchReport(upstream: Upstream): Promise<EngineReport | undefined>;
     /** How long the engine has asked this host to back off, in milliseconds; 0 if it takes orders. */
-    restMs(upstream: Upstream): number;
+    backoffMs(upstream: Upstream): number;
 }
 
 export function describeOrder(order: EngineOrder): string {
--- a/packages/fleet/src/healthwatches.ts
+++ b/packages/fleet/src/outliermonitors.ts
@@ -1,30 +1,30 @@
 /** Runs outlier detection on the entries' reports, and writes the results to the registry. */
 import { type DemandRequest } from "./gen/winchpath/fleet/v1/fleet_pb.js";
-import { OutlierDetector } from "./healths.js";
+import { OutlierDetector } from "./outlierdetectors.js";
 import { type Registry } from "./registries.js";
 
-export class HealthWatch {
+export class OutlierMonitor {
     private readonly detector = new OutlierDetector();
 
     public constructor(private readonly registry: Registry) {}
 
     /** Records the request outcomes in an entry's report. */
-    public take(report: DemandRequest): void {
+    public record(report: DemandRequest): void {
         report.outcomes.forEach(counts => this.detector.record(counts));
         if (report.outcomes.some(({ failed }) => failed > 0)) {
-            this.review();
+            this.evaluate();
         }
     }
 
     /** Evaluates all upstreams; also called periodically, since ejections expire. */
-    public review(): void {
+    public evaluate(): void {
         const services = new Map<string, string[]>();
         for (const { upstream } of this.registry.all()) {
             services.set(upstream.service, [...services.get(upstream.service) ?? [], upstream.id]);
         }
         for (const ids of services.values()) {
             this.detector.ejectOutliers(ids).forEach((share, id) =>
-                this.registry.setFailing(id, Math.round(share * 100))
+                this.registry.setFailingPercent(id, Math.round(share * 100))
             );
         }
     }
--- a/packages/fleet/src/placements.ts
+++ b/packages/fleet/src/placements.ts
@@ -1,20 +1,20 @@
 /** The leader's control loop that loads and unloads models on engines according to demand. */
 import { type EventLog, messageOf, Notifier, sleep, steadyNow } from "@winchpath/core";
 import { type Configuration, type EngineSpec } from "@winchpath/declarations";
-import { type DemandBook } from "./demands.js";
+import { type DemandTracker } from "./demands.js";
 import { type HeldModel, type Mismatch, UpstreamState } from "./gen/winchpath/fleet/v1/fleet_pb.js";
-import { OrderLine, type OrderLineOwner } from "./orderlines.js";
-import { describeOrder, type EngineCalls, type Fence } from "./orders.js";
+import { OrderDispatcher, type OrderDispatcherOwner } from "./orderdispatchers.js";
+import { describeOrder, type EngineClient, type Fence } from "./orders.js";
 import {
     type AdapterStage,
-    type PlannedEngine,
-    type PlannedModel,
+    type EngineSnapshot,
+    type ModelSnapshot,
     type PlannedOrder,
     planOrders,
     type UnmetNeed,
 } from "./plans.js";
 import { type RegisteredUpstream, type Registry } from "./registries.js";
-import { StoreLoadLimiter } from "./storepaces.js";
+import { StoreLoadLimiter } from "./storeloadlimiters.js";
 
 /** Interval of plans while nothing changes, in milliseconds. */
 const planIntervalMs = 500;
@@ -40,19 +40,19 @@
 /** Processes that must report an engine as unreachable before it is excluded: a single one may itself be cut off. */
 const minUnreachableReports = 2;
 
-export interface PlacementControl {
+export interface PlacementContext {
     /** How often upstreams announce themselves, in milliseconds. */
     readonly announceMs: number;
     /** Fencing token for orders; undefined while this host may not give any. */
     fence(): Fence | undefined;
     /** Called when an order is sent. */
-    gaveOrder(): void;
+    orderSent(): void;
     readonly configuration: Configuration | undefined;
 }
 
 /** Plans and sends orders for the duration of one leadership. */
-export class EnginePlacement implements OrderLineOwner {
-    private readonly lines = new Map<string, OrderLine>();
+export class PlacementController implements OrderDispatcherOwner {
+    private readonly lines = new Map<string, OrderDispatcher>();
     /** Steady time of the last attempt to read each engine's state. */
     private readonly lastSyncTimes = new Map<string, number>();
     /** Models that memory is being freed for, by engine. */
@@ -66,10 +66,10 @@
     private unmetLoggedAt = Number.NEGATIVE_INFINITY;
 
     public constructor(
-        private readonly control: PlacementControl,
+        private readonly control: PlacementContext,
         private readonly registry: Registry,
-        private readonly demand: DemandBook,
-        private readonly calls: EngineCalls,
+        private readonly demand: DemandTracker,
+        private readonly calls: EngineClient,
         private readonly log: EventLog,
     ) {}
 
@@ -82,32 +82,32 @@
         return this.isFenced ? undefined : this.control.fence();
     }
 
-    public gave(): void {
-        this.control.gaveOrder();
+    public onOrderSent(): void {
+        this.control.orderSent();
     }
 
-    public unreachable(upstream: string): void {
-        this.registry.refused(upstream);
+    public onUnreachable(upstream: string): void {
+        this.registry.reportRefused(upstream);
     }
 
-    public fenced(upstream: string): void {
+    public onFenced(upstream: string): void {
         if (!this.isFenced) {
             this.isFenced = true;
             this.log.warn("orders.fenced", { upstream });
         }
     }
 
-    public settled(): void {
+    public onChange(): void {
         this.planTrigger.notify();
     }
 
     /** Rereads an engine's state after it told an entry that it does not hold an expected model or adapter. */
-    public doubt(mismatch: Mismatch): void {
+    public resyncAfterMismatch(mismatch: Mismatch): void {
         const line = this.lines.get(mismatch.upstream);
         const name = mismatch.adapter === "" ? mismatch.model : `${mismatch.model}/${mismatch.adapter}`;
         if (line !== undefined && this.claimSync(mismatch.upstream)) {
             this.log.warn("engine.mismatch", { upstream: mismatch.upstream, item: name });
-            void line.sync();
+            void line.refresh();
         }
     }
 
@@ -119,7 +119,7 @@
                 Math.min(maxPlanPauseMs, Math.max(minPlanPauseMs, this.planDurationMs / maxPlanTimeShare)),
                 signal,
             );
-            if (signal.aborted || this.fence() === undefined || !this.demand.isHeard) {
+            if (signal.aborted || this.fence() === undefined || !this.demand.hasEnoughReports) {
                 continue;
             }
             try {
@@ -129,7 +129,7 @@
                 this.log.warn("plan.failed", { error: messageOf(err) });
             }
         }
-        this.lines.forEach(line => line.end());
+        this.lines.forEach(line => line.stop());
     }
 
     private planServices(): void {
@@ -158,7 +158,7 @@
                 spec.storeLoadsPerSecond,
                 this.maxInheritedStarts(service, spec),
             ),
-            capacityOf: model => this.demand.paceOf(service, model),
+            capacityOf: model => this.demand.throughputOf(service, model),
         });
         this.planDurationMs += steadyNow() - startedAt;
         this.logUnmetNeeds(plan.unmet);
@@ -168,7 +168,7 @@
     /** Upper bound of an earlier leader's recent loads from the store, by the engines not yet seen idle. */
     private maxInheritedStarts(service: string, spec: EngineSpec): number {
         const unverified = this.registry.all().filter(({ upstream }) =>
-            upstream.service === service && this.lines.get(upstream.id)?.seenIdle !== true
+            upstream.service === service && this.lines.get(upstream.id)?.hasSeenIdle !== true
         );
         return StoreLoadLimiter.maxInheritedStarts(
             unverified.length,
@@ -214,7 +214,7 @@
 
     private sendOrder(service: string, planned: PlannedOrder, spec: EngineSpec): void {
         const line = this.lines.get(planned.engine);
-        if (line === undefined || !line.free) {
+        if (line === undefined || !line.isReady) {
             return;
         }
         this.log.info("order.planned", {
@@ -222,7 +222,7 @@
             order: describeOrder(planned.order),
             fromStore: planned.fromStore,
             reason: planned.reason,
-            capacity: Math.round(this.demand.paceOf(service, planned.makesRoomFor ?? planned.order.model) ?? 0),
+            capacity: Math.round(this.demand.throughputOf(service, planned.makesRoomFor ?? planned.order.model) ?? 0),
         });
         if (planned.fromStore) {
             this.storeLimiter.recordStart();
@@ -233,7 +233,7 @@
         else if (planned.order.kind === "load" && planned.order.adapter === "") {
             this.reservations.delete(planned.engine);
         }
-        void line.give(planned.order, this.expectedOrderMs(planned, spec));
+        void line.execute(planned.order, this.expectedOrderMs(planned, spec));
     }
 
     private expectedOrderMs(planned: PlannedOrder, spec: EngineSpec): number {
@@ -261,16 +261,16 @@
             }
             let line = this.lines.get(upstream.id);
             if (line === undefined) {
-                line = new OrderLine(upstream.id, this.registry, this.calls, this, this.log);
+                line = new OrderDispatcher(upstream.id, this.registry, this.calls, this, this.log);
                 this.lines.set(upstream.id, line);
             }
-            if (!line.free && upstream.state === UpstreamState.READY && this.claimSync(upstream.id)) {
-                void line.sync();
+            if (!line.isReady && upstream.state === UpstreamState.READY && this.claimSync(upstream.id)) {
+                void line.refresh();
             }
         }
         for (const [id, line] of this.lines) {
             if (this.registry.get(id) === undefined) {
-                line.end();
+                line.stop();
                 this.lines.delete(id);
                 this.lastSyncTimes.delete(id);
                 this.reservations.delete(id);
@@ -289,32 +289,32 @@
         return true;
     }
 
-    private snapshotEngine(known: RegisteredUpstream): PlannedEngine {
+    private snapshotEngine(known: RegisteredUpstream): EngineSnapshot {
         const { upstream, inMemory, onDisk } = known;
         const line = this.lines.get(upstream.id);
-        const models = new Map<string, PlannedModel>();
+        const models = new Map<string, ModelSnapshot>();
         for (const held of upstream.models) {
             models.set(held.name, {
-                ready: held.readyInMs === 0,
-                leaving: held.leaving,
+                isReady: held.readyInMs === 0,
+                isLeaving: held.leaving,
                 adapters: adapterStages(held, line),
             });
         }
         for (const name of line?.loadingModels ?? []) {
             if (!models.has(name)) {
-                models.set(name, { ready: false, leaving: false, adapters: new Map() });
+                models.set(name, { isReady: false, isLeaving: false, adapters: new Map() });
             }
         }
         const reservation = this.reservations.get(upstream.id);
         return {
-            coming: reservation !== undefined && steadyNow() < reservation.until ? reservation.model : undefined,
+            pendingModel: reservation !== undefined && steadyNow() < reservation.until ? reservation.model : undefined,
             id: upstream.id,
             service: upstream.service,
             dataCentre: upstream.dataCentre,
             models,
             // Adapter loads are polled by orders, which an engine rejects while it loads a model.
-            takesModels: line?.free === true && line.adaptersUnderWay.size === 0,
-            freeTransits: line?.freeTransits ?? 0,
+            acceptsModelOrders: line?.isReady === true && line.loadingAdapters.size === 0,
+            freeAdapterLoads: line?.availableAdapterLoads ?? 0,
             inMemory,
             onDisk,
         };
@@ -322,7 +322,7 @@
 }
 
 /** All adapters of a model that occupy slots on an engine: those that are held, and those being loaded or unloaded. */
-function adapterStages(model: HeldModel, line: OrderLine | undefined): Map<string, AdapterStage> {
+function adapterStages(model: HeldModel, line: OrderDispatcher | undefined): Map<string, AdapterStage> {
     const stages = new Map(model.adapters.map((adapter): [string, AdapterStage] => [adapter, "held"]));
     const add = (names: Iterable<string>, stage: AdapterStage) => {
         const prefix = `${model.name}/`;
@@ -330,7 +330,7 @@
             stages.set(name.slice(prefix.length), stage)
         );
     };
-    add(line?.adaptersUnderWay ?? [], "coming");
-    add(line?.adaptersLeaving ?? [], "leaving");
+    add(line?.loadingAdapters ?? [], "coming");
+    add(line?.unloadingAdapters ?? [], "leaving");
     return stages;
 }
--- a/packages/fleet/src/plans.ts
+++ b/packages/fleet/src/plans.ts
@@ -2,23 +2,23 @@
 import { type EngineSpec } from "@winchpath/declarations";
 import { AdapterPlanner } from "./adapterplans.js";
 import { type ItemNeed } from "./demands.js";
-import { type LoadOption, LoadScorer } from "./modelvalues.js";
+import { type LoadOption, LoadScorer } from "./loadscorers.js";
 import { type EngineOrder } from "./orders.js";
 import { type ModelNeed, PlanState } from "./planstates.js";
 
 /** State of an engine at the time of planning. */
-export interface PlannedEngine {
+export interface EngineSnapshot {
     readonly id: string;
     readonly service: string;
     readonly dataCentre: string;
     /** Models that are loaded, loading or unloading, by name. */
-    readonly models: ReadonlyMap<string, PlannedModel>;
+    readonly models: ReadonlyMap<string, ModelSnapshot>;
     /** The model that memory is being freed for; it counts as a replica that is loading. */
-    readonly coming: string | undefined;
+    readonly pendingModel: string | undefined;
     /** Whether it accepts an order that loads or unloads a model. */
-    readonly takesModels: boolean;
+    readonly acceptsModelOrders: boolean;
     /** Further adapter loads that may run at the same time. */
-    readonly freeTransits: number;
+    readonly freeAdapterLoads: number;
     /** Models of which its host keeps a copy in memory. */
     readonly inMemory: ReadonlySet<string>;
     /** Models of which its host keeps a copy on disk. */
@@ -26,10 +26,10 @@
 }
 
 /** State of a model on one engine. */
-export interface PlannedModel {
-    readonly ready: boolean;
+export interface ModelSnapshot {
+    readonly isReady: boolean;
     /** Whether it is being unloaded. */
-    readonly leaving: boolean;
+    readonly isLeaving: boolean;
     /** Adapters by name; each occupies an adapter slot, whatever its stage. */
     readonly adapters: ReadonlyMap<string, AdapterStage>;
 }
@@ -41,7 +41,7 @@
 export interface PlanInput {
     readonly service: string;
     readonly spec: EngineSpec;
-    readonly engines: readonly PlannedEngine[];
+    readonly engines: readonly EngineSnapshot[];
     readonly needs: readonly ItemNeed[];
     /** Number of loads from the weight store that may start now. */
     readonly storeLoadBudget: number;
@@ -127,7 +127,7 @@
     /** Continues replacements whose unload was ordered by an earlier plan, by descending demand. */
     private pendingOrders(): PlannedOrder[] {
         const pending = this.state.input.engines.flatMap(engine => {
-            const need = engine.coming === undefined ? undefined : this.state.modelNeed(engine.coming);
+            const need = engine.pendingModel === undefined ? undefined : this.state.modelNeed(engine.pendingModel);
             const isPending = need !== undefined && this.isAvailable(engine) && !engine.models.has(need.model.name);
             return isPending ? [{ engine, need }] : [];
         });
@@ -161,7 +161,7 @@
     private bestLoad(need: ModelNeed): { readonly need: ModelNeed; readonly option: LoadOption; } | undefined {
         let best: LoadOption | undefined;
         for (const engine of this.state.input.engines) {
-            if (!this.isAvailable(engine) || engine.coming !== undefined || engine.models.has(need.model.name)) {
+            if (!this.isAvailable(engine) || engine.pendingModel !== undefined || engine.models.has(need.model.name)) {
                 continue;
             }
             if (this.storeLoadBudget <= 0 && needsStore(engine, need)) {
@@ -178,11 +178,11 @@
         return best === undefined ? undefined : { need, option: best };
     }
 
-    private isAvailable(engine: PlannedEngine): boolean {
-        return engine.takesModels && !this.state.assignedEngines.has(engine.id);
+    private isAvailable(engine: EngineSnapshot): boolean {
+        return engine.acceptsModelOrders && !this.state.assignedEngines.has(engine.id);
     }
 
-    private load(engine: PlannedEngine, need: ModelNeed): PlannedOrder | undefined {
+    private load(engine: EngineSnapshot, need: ModelNeed): PlannedOrder | undefined {
         const { name } = need.model;
         const fromStore = needsStore(engine, need);
         if (fromStore && this.storeLoadBudget <= 0) {
@@ -193,7 +193,7 @@
         return { engine: engine.id, order: { kind: "load", model: name, adapter: "" }, fromStore, reason };
     }
 
-    private evict(engine: PlannedEngine, need: ModelNeed, victim: ModelNeed): PlannedOrder {
+    private evict(engine: EngineSnapshot, need: ModelNeed, victim: ModelNeed): PlannedOrder {
         this.state.addPlannedUnload(victim.model.name);
         return {
             engine: engine.id,
@@ -206,6 +206,6 @@
 }
 
 /** Whether a load reads the weights from the store, since the engine's host has no copy of them. */
-function needsStore(engine: PlannedEngine, need: ModelNeed): boolean {
+function needsStore(engine: EngineSnapshot, need: ModelNeed): boolean {
     return !engine.inMemory.has(need.model.name) && !engine.onDisk.has(need.model.name);
 }
--- a/packages/fleet/src/planstates.ts
+++ b/packages/fleet/src/planstates.ts
@@ -1,7 +1,7 @@
 /** Indexes a plan's input by model, and tracks the orders that have been planned so far. */
 import { type EngineModel, type EngineSpec } from "@winchpath/declarations";
 import { type ItemNeed } from "./demands.js";
-import { type PlanInput, type PlannedEngine } from "./plans.js";
+import { type EngineSnapshot, type PlanInput } from "./plans.js";
 
 /** Demand for a model, including its adapters. */
 export interface ModelNeed {
@@ -23,7 +23,7 @@
     public readonly assignedEngines = new Set<string>();
     private readonly modelNeeds: ReadonlyMap<string, ModelNeed>;
     private readonly adapterNeeds: ReadonlyMap<string, ItemNeed>;
-    private readonly holdersByModel = new Map<string, PlannedEngine[]>();
+    private readonly holdersByModel = new Map<string, EngineSnapshot[]>();
     private readonly pendingLoads = new Map<string, number>();
     private readonly plannedUnloads = new Map<string, number>();
     private readonly plannedLoads = new Map<string, number>();
@@ -50,7 +50,7 @@
     }
 
     /** Engines on which a model is loaded or loading, and not being unloaded. */
-    public holders(model: string): readonly PlannedEngine[] {
+    public holders(model: string): readonly EngineSnapshot[] {
         return this.holdersByModel.get(model) ?? [];
     }
 
@@ -62,7 +62,7 @@
 
     /** Number of replicas that serve now, without those that the plan unloads. */
     public readyReplicas(model: string): number {
-        const ready = this.holders(model).filter(engine => engine.models.get(model)!.ready);
+        const ready = this.holders(model).filter(engine => engine.models.get(model)!.isReady);
         return ready.length - (this.plannedUnloads.get(model) ?? 0);
     }
 
@@ -86,7 +86,7 @@
     }
 
     /** Whether an engine has memory for `extraMb` more. */
-    public fits(engine: PlannedEngine, extraMb: number): boolean {
+    public fits(engine: EngineSnapshot, extraMb: number): boolean {
         let usedMb = 0;
         for (const [name, held] of engine.models) {
             usedMb += (this.modelNeeds.get(name)?.model.sizeMb ?? 0) + held.adapters.size * this.adapterSizeMb(name);
@@ -94,14 +94,14 @@
         return usedMb + extraMb <= this.input.spec.memoryMb;
     }
 
-    private indexEngine(engine: PlannedEngine): void {
+    private indexEngine(engine: EngineSnapshot): void {
         for (const [model, held] of engine.models) {
-            if (!held.leaving) {
+            if (!held.isLeaving) {
                 this.holdersByModel.set(model, [...this.holders(model), engine]);
             }
         }
-        if (engine.coming !== undefined && !engine.models.has(engine.coming)) {
-            this.pendingLoads.set(engine.coming, (this.pendingLoads.get(engine.coming) ?? 0) + 1);
+        if (engine.pendingModel !== undefined && !engine.models.has(engine.pendingModel)) {
+            this.pendingLoads.set(engine.pendingModel, (this.pendingLoads.get(engine.pendingModel) ?? 0) + 1);
         }
     }
 }
--- a/packages/fleet/src/registries.ts
+++ b/packages/fleet/src/registries.ts
@@ -1,6 +1,6 @@
 /** The control leader's registry of announced upstreams. */
 import { clone, create, equals } from "@bufbuild/protobuf";
-import { LeaverBook } from "@winchpath/availability";
+import { DrainTracker } from "@winchpath/availability";
 import { type EventLog, Notifier, steadyNow } from "@winchpath/core";
 import { ChangeLog } from "./changelogs.js";
 import {
@@ -11,8 +11,8 @@
     UpstreamSchema,
     UpstreamState,
 } from "./gen/winchpath/fleet/v1/fleet_pb.js";
-import { EndedIncarnations, type Incarnation, succeeds } from "./incarnations.js";
-import { PendingAnnouncements } from "./strangers.js";
+import { EndedIncarnations, type Incarnation, supersedes } from "./incarnations.js";
+import { PendingAnnouncements } from "./pendingannouncements.js";
 
 /**
  * An upstream is removed after this long without an announcement (ten at the default interval of 1.2 s).
@@ -38,7 +38,7 @@
     /** Monotonic time of the last announcement. */
     readonly lastAnnouncedAt: number;
     /** Monotonic time of the last failed connection per reporting process; cleared by an announcement. */
-    readonly unreachableFrom: ReadonlyMap<string, number>;
+    readonly unreachableReports: ReadonlyMap<string, number>;
     /** Monotonic time at which it last refused a connection; cleared by an announcement. */
     readonly refusedAt: number;
     /** Models that its host has cached in memory, and on disk. */
@@ -49,7 +49,7 @@
 interface UpstreamRecord extends RegisteredUpstream {
     upstream: Upstream;
     lastAnnouncedAt: number;
-    unreachableFrom: Map<string, number>;
+    unreachableReports: Map<string, number>;
     refusedAt: number;
     inMemory: ReadonlySet<string>;
     onDisk: ReadonlySet<string>;
@@ -81,7 +81,7 @@
     private readonly changes = new ChangeLog();
     private readonly pending: PendingAnnouncements;
     /** Survives leader changes and expiry: an incarnation that drains never becomes ready again. */
-    private readonly drainingIds = new LeaverBook();
+    private readonly drainingIds = new DrainTracker();
     /** When a possibly delayed announcement first arrived, by upstream id. */
     private readonly delayedSince = new Map<string, number>();
     /** Incarnations that lost their name or address to another one without draining first. */
@@ -140,7 +140,7 @@
             upstream,
             sequence: announcement.sequence,
             lastAnnouncedAt: 0,
-            unreachableFrom: new Map(),
+            unreachableReports: new Map(),
             refusedAt: Number.NEGATIVE_INFINITY,
             inMemory: new Set(),
             onDisk: new Set(),
@@ -171,7 +171,7 @@
     }
 
     /** Applies announcements that were held back for unknown services; called after configuration changes. */
-    public meetStrangers(): void {
+    public admitPending(): void {
         this.pending.drain().forEach(announcement => this.announce(announcement));
     }
 
@@ -182,8 +182,8 @@
     public leave(name: string, born = 0n): number {
         const known = this.getByName(name);
         const departed = born === 0n && known !== undefined ? known : { name, born };
-        this.endedIncarnations.end(departed);
-        if (known === undefined || succeeds(known, departed)) {
+        this.endedIncarnations.markEnded(departed);
+        if (known === undefined || supersedes(known, departed)) {
             return this.lastPosition;
         }
         this.drainingIds.add(known.id);
@@ -191,7 +191,7 @@
     }
 
     /** Marks an upstream as draining after one of its responses has said so, whatever it announces. */
-    public noteLeaving(id: string, from: string): void {
+    public markDraining(id: string, from: string): void {
         const isNew = this.drainingIds.add(id);
         const record = this.upstreams.get(id);
         if (isNew) {
@@ -217,7 +217,7 @@
     }
 
     /** Sets the percentage of requests that an upstream fails. */
-    public setFailing(id: string, percent: number): void {
+    public setFailingPercent(id: string, percent: number): void {
         const record = this.upstreams.get(id);
         if (record !== undefined && record.upstream.failingPercent !== percent) {
             const next = clone(UpstreamSchema, record.upstream);
@@ -228,7 +228,7 @@
     }
 
     /** Sets whether an upstream has announced a rate limit. */
-    public setLimited(id: string, limited: boolean): void {
+    public setRateLimited(id: string, limited: boolean): void {
         const record = this.upstreams.get(id);
         if (record !== undefined && record.upstream.limited !== limited) {
             const next = clone(UpstreamSchema, record.upstream);
@@ -238,16 +238,16 @@
     }
 
     /** Records that a process could not reach an upstream. */
-    public unreachable(id: string, from: string): void {
+    public reportUnreachable(id: string, from: string): void {
         const record = this.upstreams.get(id);
         if (record !== undefined) {
-            record.unreachableFrom.set(from, steadyNow());
+            record.unreachableReports.set(from, steadyNow());
             this.changed.notify();
         }
     }
 
     /** Records a refused connection. One is enough to suspect an upstream: no process listens at its address. */
-    public refused(id: string): void {
+    public reportRefused(id: string): void {
         const record = this.upstreams.get(id);
         if (record !== undefined) {
             record.refusedAt = steadyNow();
@@ -266,24 +266,24 @@
         }
         const now = steadyNow();
         const isRecent = (at: number) => now - at < unreachableReportTtlMs;
-        const unreachableCount = [...record.unreachableFrom.values()].filter(isRecent).length;
+        const unreachableCount = [...record.unreachableReports.values()].filter(isRecent).length;
         return now - record.lastAnnouncedAt > maxSilenceMs || isRecent(record.refusedAt)
             || unreachableCount >= minReports;
     }
 
     /** Removes upstreams that have stopped announcing themselves. */
-    public expire(): void {
+    public removeExpired(): void {
         const now = steadyNow();
         for (const [id, record] of this.upstreams) {
             if (now - record.lastAnnouncedAt > expireAfterMs) {
                 this.remove(id, "silent");
             }
         }
-        this.endedIncarnations.forgetOld();
+        this.endedIncarnations.removeExpired();
         deleteOlderThan(this.delayedSince, now - delayRecordTtlMs);
     }
 
-    public since(position: number): RegistryChanges {
+    public changesSince(position: number): RegistryChanges {
         const isSnapshot = position < this.removalFloor;
         const changed = isSnapshot ? [...this.upstreams.values()] : this.changedSince(position);
         const removed = this.removals.filter(removal => removal.position > position).map(removal => removal.id);
@@ -313,7 +313,7 @@
 
     private markHeard(record: UpstreamRecord): void {
         record.lastAnnouncedAt = steadyNow();
-        record.unreachableFrom.clear();
+        record.unreachableReports.clear();
         record.refusedAt = Number.NEGATIVE_INFINITY;
     }
 
@@ -332,7 +332,7 @@
     /** Whether an incarnation has ended, or a later one of the same name is known. */
     private isSuperseded(incarnation: Incarnation): boolean {
         const known = this.getByName(incarnation.name);
-        return this.endedIncarnations.has(incarnation) || (known !== undefined && succeeds(known, incarnation));
+        return this.endedIncarnations.has(incarnation) || (known !== undefined && supersedes(known, incarnation));
     }
 
     private applyAnnouncement(record: UpstreamRecord, announced: Upstream, isNew: boolean): void {
@@ -395,7 +395,7 @@
         const now = steadyNow();
         const holder = this.upstreams.get(this.idAtAddress.get(address) ?? "");
         const isAddressHeld = holder !== undefined && now - holder.lastAnnouncedAt < addressHeldMs
-            && !succeeds(announcement.upstream!, holder.upstream);
+            && !supersedes(announcement.upstream!, holder.upstream);
         const mayHaveEnded = isAddressHeld || this.endedIncarnations.hasAny(announcement.upstream!.name);
         if (!mayHaveEnded || announcement.sequence <= maxInitialSequence) {
             return false;
@@ -408,7 +408,7 @@
     private removePreviousIncarnation(upstream: Upstream): void {
         const known = this.getByName(upstream.name);
         if (known !== undefined && known.id !== upstream.id) {
-            this.endedIncarnations.end(known);
+            this.endedIncarnations.markEnded(known);
             this.markReplaced(known);
             this.remove(known.id, "replaced by a restart");
         }
@@ -418,7 +418,7 @@
     private claimAddress({ id, address }: Upstream): void {
         const other = this.upstreams.get(this.idAtAddress.get(address) ?? "");
         if (other !== undefined && other.upstream.id !== id && other.upstream.address === address) {
-            this.endedIncarnations.end(other.upstream);
+            this.endedIncarnations.markEnded(other.upstream);
             this.markReplaced(other.upstream);
             this.remove(other.upstream.id, "address taken by another upstream");
         }
@@ -491,6 +491,6 @@
 }
 
 /** Creates a model without adapters that is ready in `readyInMs`. */
-export function heldModel(name: string, readyInMs: number): HeldModel {
+export function createHeldModel(name: string, readyInMs: number): HeldModel {
     return create(HeldModelSchema, { name, readyInMs: Math.round(readyInMs) });
 }
--- a/packages/fleet/src/tests/gatherers.test.ts
+++ b/packages/fleet/src/tests/announcementbatchers.test.ts
@@ -1,13 +1,19 @@
 import { silentLog } from "@winchpath/core";
 import { expect } from "earl";
 import { beforeEach, describe, it } from "node:test";
-import { type Announcement, AnnouncementGatherer, batchIntervalMs, type Reaffirmed, UpstreamState } from "../index.js";
-import { announcement } from "./standins.js";
+import {
+    type Announcement,
+    AnnouncementBatcher,
+    batchIntervalMs,
+    type UpstreamHeartbeat,
+    UpstreamState,
+} from "../index.js";
+import { createAnnouncement } from "./fixtures.js";
 
 class TestLeader {
     public leaderUrl = "http://a";
     public readonly announced: Announcement[] = [];
-    public readonly reaffirmed: Reaffirmed[][] = [];
+    public readonly reaffirmed: UpstreamHeartbeat[][] = [];
     public unknown: string[] = [];
     public isUnreachable = false;
 
@@ -16,7 +22,7 @@
         this.announced.push(announcement);
     }
 
-    public async reaffirm(upstreams: readonly Reaffirmed[]): Promise<readonly string[]> {
+    public async reaffirm(upstreams: readonly UpstreamHeartbeat[]): Promise<readonly string[]> {
         this.throwIfUnreachable();
         this.reaffirmed.push([...upstreams]);
         return this.unknown;
@@ -31,10 +37,10 @@
 
 describe("AnnouncementGatherer", () => {
     let leader: TestLeader;
-    let gatherer: AnnouncementGatherer;
+    let gatherer: AnnouncementBatcher;
     beforeEach(() => {
         leader = new TestLeader();
-        gatherer = new AnnouncementGatherer(leader, silentLog);
+        gatherer = new AnnouncementBatcher(leader, silentLog);
     });
 
     async function pass(t: { mock: { timers: { tick(ms: number): void; }; }; }, ms: number): Promise<void> {
@@ -46,9 +52,9 @@
         t.mock.timers.enable({ apis: ["Date", "setTimeout"], now: 1_000_000 });
         const abort = new AbortController();
         void gatherer.run(abort.signal);
-        await gatherer.announce(announcement("u", 1));
-        await gatherer.announce(announcement("u", 2));
-        await gatherer.announce(announcement("u", 3));
+        await gatherer.announce(createAnnouncement("u", 1));
+        await gatherer.announce(createAnnouncement("u", 2));
+        await gatherer.announce(createAnnouncement("u", 3));
         expect(leader.announced.length).toEqual(1);
         await pass(t, batchIntervalMs);
         expect(leader.reaffirmed).toEqual([[{ id: "u", sequence: 3n }]]);
@@ -56,27 +62,27 @@
     });
 
     it("forwards at once when the content or the leader changes", async () => {
-        await gatherer.announce(announcement("u", 1));
-        await gatherer.announce(announcement("u", 2, { state: UpstreamState.DRAINING }));
+        await gatherer.announce(createAnnouncement("u", 1));
+        await gatherer.announce(createAnnouncement("u", 2, { state: UpstreamState.DRAINING }));
         leader.leaderUrl = "http://b";
-        await gatherer.announce(announcement("u", 3, { state: UpstreamState.DRAINING }));
+        await gatherer.announce(createAnnouncement("u", 3, { state: UpstreamState.DRAINING }));
         expect(leader.announced.length).toEqual(3);
     });
 
     it("acknowledges nothing once the leader has been unreachable for a second", async t => {
         t.mock.timers.enable({ apis: ["Date"], now: 1_000_000 });
-        await gatherer.announce(announcement("u", 1));
+        await gatherer.announce(createAnnouncement("u", 1));
         t.mock.timers.tick(1001);
         leader.isUnreachable = true;
-        await expect(gatherer.announce(announcement("u", 2))).toBeRejected();
+        await expect(gatherer.announce(createAnnouncement("u", 2))).toBeRejected();
     });
 
     it("forwards announcements in full that a new leader does not know", async t => {
         t.mock.timers.enable({ apis: ["Date", "setTimeout"], now: 1_000_000 });
         const abort = new AbortController();
         void gatherer.run(abort.signal);
-        await gatherer.announce(announcement("u", 1));
-        await gatherer.announce(announcement("u", 2));
+        await gatherer.announce(createAnnouncement("u", 1));
+        await gatherer.announce(createAnnouncement("u", 2));
         leader.unknown = ["u"];
         await pass(t, batchIntervalMs);
         await new Promise(resolve => setImmediate(resolve));
--- a/packages/fleet/src/tests/demands.test.ts
+++ b/packages/fleet/src/tests/demands.test.ts
@@ -2,15 +2,15 @@
 import { silentLog } from "@winchpath/core";
 import { expect } from "earl";
 import { describe, it, type TestContext } from "node:test";
-import { DemandBook, DemandRequestSchema, type ItemDemandSchema } from "../index.js";
+import { DemandRequestSchema, DemandTracker, type ItemDemandSchema } from "../index.js";
 
 function report(items: MessageInitShape<typeof ItemDemandSchema>[], entry = "e1") {
     return create(DemandRequestSchema, { entry, intervalMs: 500, items });
 }
 
-function startBook(t: TestContext): DemandBook {
+function startBook(t: TestContext): DemandTracker {
     t.mock.timers.enable({ apis: ["Date"], now: 1_000_000 });
-    return new DemandBook(silentLog);
+    return new DemandTracker(silentLog);
 }
 
 describe("DemandBook", () => {
@@ -41,7 +41,7 @@
     });
 
     it("keeps the throughput of each model separately", () => {
-        const book = new DemandBook(silentLog);
+        const book = new DemandTracker(silentLog);
         book.take(create(DemandRequestSchema, {
             paces: [{ service: "s", model: "small", tokensPerSecond: 40_000 }, {
                 service: "s",
@@ -49,7 +49,7 @@
                 tokensPerSecond: 10_000,
             }],
         }));
-        expect([book.paceOf("s", "small"), book.paceOf("s", "large"), book.paceOf("s", "other")])
+        expect([book.throughputOf("s", "small"), book.throughputOf("s", "large"), book.throughputOf("s", "other")])
             .toEqual([40_000, 10_000, undefined]);
     });
 });
--- a/packages/fleet/src/tests/rooms.test.ts
+++ b/packages/fleet/src/tests/enginecapacities.test.ts
@@ -5,8 +5,8 @@
 import { expect } from "earl";
 import { afterEach, beforeEach, describe, it, mock } from "node:test";
 import { type EngineOrder } from "../index.js";
-import { RoomEngine, RoomLeader, type SendOrder, type ToldDemand } from "./roomengines.js";
-import { pass } from "./times.js";
+import { advanceTime } from "./mocktimes.js";
+import { type ReportedDemand, type SendOrder, SimulatedEngine, SimulatedLeader } from "./simulatedengines.js";
 
 /** Enough for all reads, plans, conflicts and loads to complete, in milliseconds. */
 const settleMs = 6000;
@@ -15,16 +15,16 @@
     return { kind: "load", model, adapter };
 }
 
-function uses(model: string, adapter = ""): ToldDemand {
+function uses(model: string, adapter = ""): ReportedDemand {
     return { model, adapter, running: 1, waiting: 0 };
 }
 
-function waitsFor(model: string, adapter = ""): ToldDemand {
+function waitsFor(model: string, adapter = ""): ReportedDemand {
     return { model, adapter, running: 0, waiting: 3 };
 }
 
 describe("engine capacity", () => {
-    const leaders: RoomLeader[] = [];
+    const leaders: SimulatedLeader[] = [];
 
     beforeEach(() => mock.timers.enable({ apis: ["Date", "setTimeout"], now: 1_000_000 }));
 
@@ -34,7 +34,7 @@
     });
 
     /** Starts a leader whose first order reaches the engine just after another one was accepted. */
-    function startLeaderAfter(engine: RoomEngine, other: EngineOrder, needs: readonly ToldDemand[]): void {
+    function startLeaderAfter(engine: SimulatedEngine, other: EngineOrder, needs: readonly ReportedDemand[]): void {
         let isFirst = true;
         const send: SendOrder = async (order, expected) => {
             if (isFirst) {
@@ -43,31 +43,31 @@
             }
             return engine.order(order, expected);
         };
-        const leader = new RoomLeader(engine, () => needs, send);
+        const leader = new SimulatedLeader(engine, () => needs, send);
         leaders.push(leader);
         leader.start();
     }
 
     describe("when another order was accepted since the engine's state was read", () => {
         it("is not exceeded by adapters", async () => {
-            const engine = new RoomEngine({ m1: ["a1"] });
+            const engine = new SimulatedEngine({ m1: ["a1"] });
             startLeaderAfter(engine, load("m1", "a2"), [uses("m1", "a1"), uses("m1", "a2"), waitsFor("m1", "a3")]);
-            await pass(settleMs);
+            await advanceTime(settleMs);
             expect(engine.crashedBy).toEqual(undefined);
             expect(engine.placed).toEqual(["m1/a1", "m1/a2"]);
         });
 
         it("is not exceeded by models", async () => {
-            const engine = new RoomEngine({ m1: [], m2: [] });
+            const engine = new SimulatedEngine({ m1: [], m2: [] });
             startLeaderAfter(engine, load("m3"), [uses("m1"), uses("m2"), uses("m3"), waitsFor("m4")]);
-            await pass(settleMs);
+            await advanceTime(settleMs);
             expect(engine.crashedBy).toEqual(undefined);
         });
 
         it("is used by the order if that still fits", async () => {
-            const engine = new RoomEngine({ m1: [] });
+            const engine = new SimulatedEngine({ m1: [] });
             startLeaderAfter(engine, load("m1", "a2"), [uses("m1", "a2"), waitsFor("m1", "a3")]);
-            await pass(settleMs);
+            await advanceTime(settleMs);
             expect(engine.placed).toEqual(["m1/a2", "m1/a3"]);
         });
     });
--- a/packages/fleet/src/tests/followers.test.ts
+++ b/packages/fleet/src/tests/feedfollowers.test.ts
@@ -84,7 +84,7 @@
         const end = new AbortController();
         void follower.run(end.signal);
         await advance(t, 1500);
-        expect([follower.followed.epoch, group.fullResponses <= 2]).toEqual(["http://a", true]);
+        expect([follower.currentLeader.epoch, group.fullResponses <= 2]).toEqual(["http://a", true]);
         end.abort();
     });
 
--- a/packages/fleet/src/tests/feeds.test.ts
+++ b/packages/fleet/src/tests/feeds.test.ts
@@ -1,24 +1,24 @@
 import { create } from "@bufbuild/protobuf";
 import { silentLog } from "@winchpath/core";
-import { CrashBook } from "@winchpath/quarantine";
+import { QuarantineState } from "@winchpath/quarantine";
 import { expect } from "earl";
 import { describe, it } from "node:test";
 import { PollRequestSchema, type PollResponse } from "../gen/winchpath/fleet/v1/fleet_pb.js";
 import { decodeUpstream, Feed, type FeedControl, FleetView, Registry, UpstreamState } from "../index.js";
-import { announcement } from "./standins.js";
+import { createAnnouncement } from "./fixtures.js";
 
 class TestControl implements FeedControl {
     public epoch: string | undefined = "1/a";
-    public ledMs = 0;
+    public leadershipAgeMs = 0;
     public quorumAgeMs = 0;
     public leaderUrl = "http://other";
     public controlUrls = ["http://a"];
     public document: FeedControl["document"];
-    public readonly quarantine = new CrashBook();
+    public readonly quarantine = new QuarantineState();
     public barriers = 0;
     public readonly awaitedNames = new Set<string>();
 
-    public awaitedAt(): ReadonlySet<string> {
+    public awaitedModels(): ReadonlySet<string> {
         return this.awaitedNames;
     }
 
@@ -42,7 +42,7 @@
         }));
         if (!res.notLeader) {
             Object.assign(entry, { epoch: res.epoch, position: res.position });
-            view.take(res);
+            view.apply(res);
         }
         return res;
     };
@@ -52,11 +52,11 @@
 describe("Feed", () => {
     it("sends a snapshot after a read barrier, and then only changes", async () => {
         const { control, registry, view, poll } = setUp();
-        registry.announce(announcement("u1", 1));
+        registry.announce(createAnnouncement("u1", 1));
         control.document = { version: 3, text: "three" };
         await poll();
         expect([control.barriers, view.version, view.upstreams().map(({ id }) => id)]).toEqual([1, 3, ["u1"]]);
-        registry.announce(announcement("u2", 1));
+        registry.announce(createAnnouncement("u2", 1));
         const res = await poll();
         expect(res.changed.map(bytes => decodeUpstream(bytes).id)).toEqual(["u2"]);
         expect(res.documentText).toEqual("");
@@ -66,17 +66,17 @@
         const { registry, feed, view, poll } = setUp();
         await poll();
         const waiting = poll(60_000);
-        registry.announce(announcement("u1", 1));
-        feed.wake();
+        registry.announce(createAnnouncement("u1", 1));
+        feed.wakePolls();
         await waiting;
         expect(view.upstreams().length).toEqual(1);
     });
 
     it("resolves a drain only once entries have confirmed it", async () => {
         const { registry, feed, view, poll } = setUp();
-        registry.announce(announcement("u1", 1));
+        registry.announce(createAnnouncement("u1", 1));
         await poll();
-        const position = registry.announce(announcement("u1", 2, { state: UpstreamState.DRAINING }));
+        const position = registry.announce(createAnnouncement("u1", 2, { state: UpstreamState.DRAINING }));
         let spread = false;
         const spreading = feed.awaitConfirmation(position, 60_000).then(() => {
             spread = true;
@@ -109,24 +109,24 @@
 
     it("keeps an upstream draining whatever a new leader sends", async () => {
         const { control, registry, view, poll } = setUp();
-        registry.announce(announcement("u1", 1, { state: UpstreamState.DRAINING }));
+        registry.announce(createAnnouncement("u1", 1, { state: UpstreamState.DRAINING }));
         await poll();
         control.epoch = "2/b";
         registry.clear();
-        registry.announce(announcement("u1", 2));
+        registry.announce(createAnnouncement("u1", 2));
         await poll();
         expect(view.get("u1")!.state).toEqual(UpstreamState.DRAINING);
     });
 
     it("keeps upstreams of an earlier leader until the new one is complete", async () => {
         const { control, registry, view, poll } = setUp();
-        registry.announce(announcement("u1", 1));
+        registry.announce(createAnnouncement("u1", 1));
         await poll();
         control.epoch = "2/b";
         registry.clear();
         await poll();
         expect(view.upstreams().length).toEqual(1);
-        control.ledMs = 10_000;
+        control.leadershipAgeMs = 10_000;
         await poll();
         expect(view.upstreams().length).toEqual(0);
     });
@@ -135,24 +135,24 @@
 describe("Registry", () => {
     it("ignores late announcements", () => {
         const registry = new Registry(silentLog);
-        registry.announce(announcement("u1", 5, { state: UpstreamState.DRAINING }));
-        registry.announce(announcement("u1", 4));
+        registry.announce(createAnnouncement("u1", 5, { state: UpstreamState.DRAINING }));
+        registry.announce(createAnnouncement("u1", 4));
         expect(registry.get("u1")!.upstream.state).toEqual(UpstreamState.DRAINING);
         registry.leave("u1");
-        registry.announce(announcement("u1", 6));
+        registry.announce(createAnnouncement("u1", 6));
         expect(registry.get("u1")).toEqual(undefined);
     });
 
     it("assigns an address to the upstream that announced it last", () => {
         const registry = new Registry(silentLog);
-        registry.announce(announcement("u1", 1, { address: "10.0.0.1:1" }));
-        registry.announce(announcement("u2", 1, { address: "10.0.0.1:1", service: "other" }));
+        registry.announce(createAnnouncement("u1", 1, { address: "10.0.0.1:1" }));
+        registry.announce(createAnnouncement("u2", 1, { address: "10.0.0.1:1", service: "other" }));
         expect(registry.all().map(({ upstream }) => upstream.id)).toEqual(["u2"]);
     });
 
     it("takes held models from orders instead of announcements, once there were any", () => {
         const registry = new Registry(silentLog);
-        registry.announce(announcement("u1", 1));
+        registry.announce(createAnnouncement("u1", 1));
         registry.setModels("u1", []);
         const models = [{
             $typeName: "winchpath.fleet.v1.HeldModel" as const,
@@ -162,7 +162,7 @@
             leaving: false,
             readyInMs: 0,
         }];
-        registry.announce(announcement("u1", 2, { models }));
+        registry.announce(createAnnouncement("u1", 2, { models }));
         expect(registry.get("u1")!.upstream.models.length).toEqual(0);
     });
 });
@@ -171,7 +171,7 @@
     it("is encoded once", async () => {
         const { registry, feed } = setUp();
         for (let number = 0; number < 50; number++) {
-            registry.announce(announcement(`u${number}`, 1, { address: `10.0.0.1:${number + 1}` }));
+            registry.announce(createAnnouncement(`u${number}`, 1, { address: `10.0.0.1:${number + 1}` }));
         }
         const ask = (entry: string) => feed.poll(create(PollRequestSchema, { entry, epoch: "", waitMs: 0 }));
         const [first, second] = [await ask("e1"), await ask("e2")];
--- a/packages/fleet/src/tests/standins.ts
+++ b/packages/fleet/src/tests/fixtures.ts
@@ -5,15 +5,15 @@
 import {
     type Announcement,
     AnnouncementSchema,
-    type EngineCalls,
+    type EngineClient,
     type EngineOrder,
     type EngineReport,
+    type EngineSnapshot,
     type Fence,
     HeldModelSchema,
     type ItemNeed,
+    type ModelSnapshot,
     OrderReply,
-    type PlannedEngine,
-    type PlannedModel,
     Registry,
     type Upstream,
     UpstreamState,
@@ -36,7 +36,7 @@
     })),
 };
 
-export function announcement(id: string, sequence: number, values: Partial<Upstream> = {}): Announcement {
+export function createAnnouncement(id: string, sequence: number, values: Partial<Upstream> = {}): Announcement {
     const upstream = {
         id,
         name: id,
@@ -50,13 +50,13 @@
     return create(AnnouncementSchema, { upstream, sequence: BigInt(sequence) });
 }
 
-export function registryWith(...announcements: Announcement[]): Registry {
+export function createRegistry(...announcements: Announcement[]): Registry {
     const registry = new Registry(silentLog);
     announcements.forEach(one => registry.announce(one));
     return registry;
 }
 
-export function need(model: string, values: Partial<ItemNeed> = {}, adapter = ""): ItemNeed {
+export function createNeed(model: string, values: Partial<ItemNeed> = {}, adapter = ""): ItemNeed {
     return {
         key: { service: "s", model, adapter },
         rate: 1,
@@ -68,16 +68,20 @@
     };
 }
 
-export function engine(id: string, models: readonly string[], values: Partial<PlannedEngine> = {}): PlannedEngine {
-    const held: PlannedModel = { ready: true, leaving: false, adapters: new Map() };
+export function createEngine(
+    id: string,
+    models: readonly string[],
+    values: Partial<EngineSnapshot> = {},
+): EngineSnapshot {
+    const held: ModelSnapshot = { isReady: true, isLeaving: false, adapters: new Map() };
     return {
         id,
         service: "s",
         dataCentre: "d",
         models: new Map(models.map(model => [model, held])),
-        coming: undefined,
-        takesModels: true,
-        freeTransits: 4,
+        pendingModel: undefined,
+        acceptsModelOrders: true,
+        freeAdapterLoads: 4,
         inMemory: new Set(),
         onDisk: new Set(),
         ...values,
@@ -88,29 +92,34 @@
 export type OrderHandler = (order: EngineOrder, expected: number) => OrderReply;
 
 /** An engine that executes orders, and crashes if they exceed its memory. */
-export class ScriptedEngine implements EngineCalls {
+export class ScriptedEngine implements EngineClient {
     public readonly models = new Map<string, Set<string>>();
     public readonly orders: { readonly order: EngineOrder; readonly expected: number; readonly fence: Fence; }[] = [];
     public accepted = 0;
     public busy = false;
     public crashed = false;
     /** Monotonic time until which it accepts no orders. */
-    public restsUntil = 0;
+    public backoffUntil = 0;
     public answerAfterMs = 0;
     /** Each one replies to one order in place of the engine. */
-    public readonly scripts: OrderHandler[] = [];
+    public readonly handlers: OrderHandler[] = [];
 
-    public async order(_upstream: Upstream, order: EngineOrder, expected: number, fence: Fence): Promise<OrderReply> {
+    public async sendOrder(
+        _upstream: Upstream,
+        order: EngineOrder,
+        expected: number,
+        fence: Fence,
+    ): Promise<OrderReply> {
         this.orders.push({ order, expected, fence });
         await sleep(this.answerAfterMs);
-        return this.scripts.shift()?.(order, expected) ?? this.carryOut(order, expected);
+        return this.handlers.shift()?.(order, expected) ?? this.execute(order, expected);
     }
 
-    public restMs(): number {
-        return Math.max(0, this.restsUntil - steadyNow());
+    public backoffMs(): number {
+        return Math.max(0, this.backoffUntil - steadyNow());
     }
 
-    public async report(): Promise<EngineReport | undefined> {
+    public async fetchReport(): Promise<EngineReport | undefined> {
         const models = [...this.models].map(([name, adapters]) =>
             create(HeldModelSchema, { name, adapters: [...adapters] })
         );
@@ -118,14 +127,14 @@
     }
 
     /** Executes an order immediately. */
-    public carryOut(order: EngineOrder, expected: number): OrderReply {
+    public execute(order: EngineOrder, expected: number): OrderReply {
         if (this.busy || expected !== this.accepted) {
             return OrderReply.conflict;
         }
         const adapters = this.models.get(order.model);
         if (order.adapter === "") {
             if (order.kind === "load" ? adapters !== undefined : adapters === undefined) {
-                return OrderReply.holds;
+                return OrderReply.done;
             }
             this.accepted += 1;
             if (order.kind === "load") {
@@ -140,12 +149,12 @@
                 return OrderReply.refused;
             }
             if (order.kind === "load" && adapters.has(order.adapter)) {
-                return OrderReply.holds;
+                return OrderReply.done;
             }
             this.accepted += 1;
             if (order.kind === "unload") {
                 adapters.delete(order.adapter);
-                return OrderReply.holds;
+                return OrderReply.done;
             }
             adapters.add(order.adapter);
         }
--- a/packages/fleet/src/tests/incarnations.test.ts
+++ b/packages/fleet/src/tests/incarnations.test.ts
@@ -13,11 +13,11 @@
     type Upstream,
     UpstreamState,
 } from "../index.js";
-import { announcement } from "./standins.js";
+import { createAnnouncement } from "./fixtures.js";
 
 function announcementOfRun(name: string, born: number, sequence: number, values: Partial<Upstream> = {}): Announcement {
     const id = incarnationId({ name, born: BigInt(born) });
-    return announcement(id, sequence, {
+    return createAnnouncement(id, sequence, {
         name,
         born: BigInt(born),
         address: `10.0.0.1:${name.charCodeAt(0)}`,
@@ -41,14 +41,18 @@
             leaving: false,
             readyInMs: 0,
         }]);
-        registry.setFailing("u@100", 40);
-        registry.unreachable("u@100", "e1");
+        registry.setFailingPercent("u@100", 40);
+        registry.reportUnreachable("u@100", "e1");
         const before = registry.position;
         registry.announce(announcementOfRun("u", 200, 0));
         const known = registry.get("u@200")!;
         expect(idsOf(registry)).toEqual(["u@200"]);
-        expect([known.upstream.models, known.upstream.failingPercent, known.unreachableFrom.size]).toEqual([[], 0, 0]);
-        expect(registry.since(before).removed).toEqual(["u@100"]);
+        expect([known.upstream.models, known.upstream.failingPercent, known.unreachableReports.size]).toEqual([
+            [],
+            0,
+            0,
+        ]);
+        expect(registry.changesSince(before).removed).toEqual(["u@100"]);
     });
 
     it("is urgent news for entries, since their requests must not reach the earlier run", () => {
@@ -98,7 +102,7 @@
     it("is kept by an entry when a new leader reports an earlier run", () => {
         const view = new FleetView(() => ({}), silentLog);
         const take = (epoch: string, ...changed: Upstream[]) =>
-            view.take(create(PollResponseSchema, { epoch, changed: changed.map(encodeUpstream) }));
+            view.apply(create(PollResponseSchema, { epoch, changed: changed.map(encodeUpstream) }));
         take("1", announcementOfRun("u", 200, 1).upstream!);
         take("2", announcementOfRun("u", 100, 80).upstream!);
         expect(view.upstreams().map(({ id }) => id)).toEqual(["u@200"]);
@@ -186,7 +190,7 @@
         registry.announce(announcementOfRun("y", 200, 1, { service: "other" }));
         expect(idsOf(registry)).toEqual(["u@100"]);
         services.add("other");
-        registry.meetStrangers();
+        registry.admitPending();
         expect(idsOf(registry).includes("y@200")).toEqual(true);
     });
 });
--- a/packages/fleet/src/tests/largefleets.test.ts
+++ b/packages/fleet/src/tests/largefleets.test.ts
@@ -5,21 +5,21 @@
 import { create } from "@bufbuild/protobuf";
 import { silentLog } from "@winchpath/core";
 import { type EngineSpec } from "@winchpath/declarations";
-import { CrashBook } from "@winchpath/quarantine";
+import { QuarantineState } from "@winchpath/quarantine";
 import { expect } from "earl";
 import { describe, it, type TestContext } from "node:test";
 import { type HeldModel, HeldModelSchema, PollRequestSchema } from "../gen/winchpath/fleet/v1/fleet_pb.js";
 import {
     decodeUpstream,
+    type EngineSnapshot,
     Feed,
     type FeedControl,
     type ItemNeed,
-    type PlannedEngine,
     planOrders,
     Registry,
     UpstreamState,
 } from "../index.js";
-import { announcement, engine, need, spec } from "./standins.js";
+import { createAnnouncement, createEngine, createNeed, spec } from "./fixtures.js";
 
 const entryCount = 68;
 const engineCount = 82;
@@ -30,14 +30,14 @@
 class LargeControl implements FeedControl {
     public readonly epoch = "1/a";
     public readonly quorumAgeMs = 0;
-    public readonly ledMs = 60_000;
+    public readonly leadershipAgeMs = 60_000;
     public readonly leaderUrl = "";
     public readonly controlUrls = [];
     public readonly document = undefined;
-    public readonly quarantine = new CrashBook();
+    public readonly quarantine = new QuarantineState();
     public readonly awaited = new Map<string, ReadonlySet<string>>();
 
-    public awaitedAt(entry: string): ReadonlySet<string> {
+    public awaitedModels(entry: string): ReadonlySet<string> {
         return this.awaited.get(entry) ?? new Set();
     }
 
@@ -87,7 +87,7 @@
     const feed = new Feed(registry, control, silentLog);
     const entries = new PollingEntries(feed);
     for (let index = 0; index < engineCount; index++) {
-        registry.announce(announcement(`u${index}`, 1, { address: `10.0.0.${index}:80` }));
+        registry.announce(createAnnouncement(`u${index}`, 1, { address: `10.0.0.${index}:80` }));
     }
     entries.start();
     return { control, registry, feed, entries };
@@ -115,7 +115,7 @@
         return (at: number) => {
             if (at % changeEveryMs === 0) {
                 registry.setModels(`u${at / changeEveryMs % engineCount}`, holding(`m${at}`));
-                feed.wake();
+                feed.wakePolls();
             }
         };
     }
@@ -135,8 +135,8 @@
         const { registry, feed, entries } = setUpFeed(t);
         await advanceTime(t, 500, modelChanges(registry, feed));
         const drainedAt = Date.now();
-        registry.announce(announcement("u1", 2, { address: "10.0.0.1:80", state: UpstreamState.DRAINING }));
-        feed.wake();
+        registry.announce(createAnnouncement("u1", 2, { address: "10.0.0.1:80", state: UpstreamState.DRAINING }));
+        feed.wakePolls();
         await advanceTime(t, 20);
         expect(entries.drained.size).toEqual(entryCount);
         expect(Math.max(...entries.drained.values()) - drainedAt).toBeLessThan(10);
@@ -149,7 +149,7 @@
         await advanceTime(t, 300, modelChanges(registry, feed));
         const before = entries.answers.get("entry-7")!;
         registry.setModels("u3", holding("wanted"));
-        feed.wake();
+        feed.wakePolls();
         await advanceTime(t, 10);
         expect(entries.answers.get("entry-7")! - before).toEqual(1);
     });
@@ -161,8 +161,8 @@
         memoryMb: 350,
         models: Array.from({ length: modelCount }, (_, index) => ({ ...spec.models[0], name: `m${index}` })),
     };
-    const engines: PlannedEngine[] = Array.from({ length: engineCount }, (_, index) =>
-        engine(
+    const engines: EngineSnapshot[] = Array.from({ length: engineCount }, (_, index) =>
+        createEngine(
             `e${index}`,
             Array.from(
                 { length: modelsPerEngine },
@@ -188,7 +188,7 @@
 
     it("evaluates engines only for models that could benefit from another replica", () => {
         // Each model is in demand, and its replicas have enough capacity.
-        const needs = largeSpec.models.map(({ name }) => need(name, { rate: 2, work: 3000 }));
+        const needs = largeSpec.models.map(({ name }) => createNeed(name, { rate: 2, work: 3000 }));
         const { plan, evaluations } = planFor(needs);
         expect(plan.orders).toEqual([]);
         // A few evaluations for each model; evaluating each engine for each model would take 200,000.
@@ -201,13 +201,13 @@
         const fleet = engines.map((one, index) => {
             const names = [...one.models.keys()].filter(name => !unserved.includes(name));
             return index < 8
-                ? engine(one.id, names.slice(0, 2), { coming: `m${200 + index}` })
-                : engine(one.id, names);
+                ? createEngine(one.id, names.slice(0, 2), { pendingModel: `m${200 + index}` })
+                : createEngine(one.id, names);
         });
         const needs = largeSpec.models.map(({ name }) =>
             unserved.includes(name)
-                ? need(name, { rate: 12, work: 9000, lacking: 40 })
-                : need(name, { rate: 0.1, work: 100 })
+                ? createNeed(name, { rate: 12, work: 9000, lacking: 40 })
+                : createNeed(name, { rate: 0.1, work: 100 })
         );
         const { plan } = planFor(needs, 16, fleet);
         const loaded = plan.orders.filter(({ order }) => order.kind === "load").map(({ order }) => order.model);
@@ -216,8 +216,8 @@
     });
 
     it("finds the one model that is short of replicas", () => {
-        const needs = largeSpec.models.map(({ name }) => need(name, { rate: 2, work: 3000 }));
-        needs[5] = need("m5", { rate: 40, work: 20_000 });
+        const needs = largeSpec.models.map(({ name }) => createNeed(name, { rate: 2, work: 3000 }));
+        needs[5] = createNeed("m5", { rate: 40, work: 20_000 });
         const { plan } = planFor(needs);
         expect(plan.orders.map(({ makesRoomFor, order }) => makesRoomFor ?? order.model)).toEqual(["m5"]);
     });
--- a/packages/fleet/src/tests/roomhistories.test.ts
+++ b/packages/fleet/src/tests/leaderhistories.test.ts
@@ -8,8 +8,14 @@
 import { infiniteStream, integer, noBias, sample } from "fast-check";
 import { afterEach, beforeEach, describe, it, mock } from "node:test";
 import { describeOrder, type EngineOrder, OrderReply } from "../index.js";
-import { type FirstCheck, RoomEngine, RoomLeader, type SendOrder, type ToldDemand } from "./roomengines.js";
-import { pass } from "./times.js";
+import { advanceTime } from "./mocktimes.js";
+import {
+    type FirstCheck,
+    type ReportedDemand,
+    type SendOrder,
+    SimulatedEngine,
+    SimulatedLeader,
+} from "./simulatedengines.js";
 
 /** Number of histories, one for each seed. */
 const seedCount = Number(process.env.ROOM_SEEDS ?? 60);
@@ -44,7 +50,7 @@
     return () => values.next().value / randomRange;
 }
 
-const finalNeeds: readonly ToldDemand[] = [
+const finalNeeds: readonly ReportedDemand[] = [
     { model: "m1", adapter: "", running: 2, waiting: burstSize },
     { model: "m1", adapter: "a3", running: 0, waiting: 3 },
     { model: "m1", adapter: "a4", running: 0, waiting: 3 },
@@ -54,13 +60,13 @@
 
 /** One engine under successive leaders, with changing demand. */
 class History {
-    public readonly engine: RoomEngine;
-    private needs: readonly ToldDemand[] = [];
-    private leader: RoomLeader | undefined;
+    public readonly engine: SimulatedEngine;
+    private needs: readonly ReportedDemand[] = [];
+    private leader: SimulatedLeader | undefined;
     private injectsFaults = true;
 
     public constructor(private readonly random: () => number, firstCheck: FirstCheck) {
-        this.engine = new RoomEngine({ m1: ["a1"], m2: [] }, firstCheck);
+        this.engine = new SimulatedEngine({ m1: ["a1"], m2: [] }, firstCheck);
     }
 
     public async run(): Promise<void> {
@@ -71,16 +77,16 @@
                 leaderUntil = at + minLeadershipMs * (1 + 2 * this.random());
             }
             this.changeDemand();
-            await pass(stepMs);
+            await advanceTime(stepMs);
         }
     }
 
     /** Ends all faults, and lets the leader satisfy the given demand. */
-    public async recover(needs: readonly ToldDemand[]): Promise<void> {
+    public async recover(needs: readonly ReportedDemand[]): Promise<void> {
         this.injectsFaults = false;
         adapterNames.forEach(name => this.engine.release(name));
         this.needs = needs;
-        await pass(maxOrderDelayMs + recoveryMs);
+        await advanceTime(maxOrderDelayMs + recoveryMs);
     }
 
     public end(): void {
@@ -89,7 +95,11 @@
 
     private changeLeader(): void {
         this.leader?.end();
-        this.leader = new RoomLeader(this.engine, () => this.needs, (order, expected) => this.send(order, expected));
+        this.leader = new SimulatedLeader(
+            this.engine,
+            () => this.needs,
+            (order, expected) => this.send(order, expected),
+        );
         this.leader.start();
     }
 
--- a/packages/fleet/src/tests/times.ts
+++ b/packages/fleet/src/tests/mocktimes.ts
@@ -5,7 +5,7 @@
 const stepMs = 5;
 
 /** Advances mocked time, and runs the timers and tasks that become due. */
-export async function pass(ms: number): Promise<void> {
+export async function advanceTime(ms: number): Promise<void> {
     for (let elapsedMs = 0; elapsedMs < ms; elapsedMs += stepMs) {
         mock.timers.tick(stepMs);
         await new Promise(resolve => setImmediate(resolve));
--- a/packages/fleet/src/tests/orderlines.test.ts
+++ b/packages/fleet/src/tests/orderdispatchers.test.ts
@@ -1,8 +1,8 @@
 import { Notifier, silentLog, sleep, steadyNow, until } from "@winchpath/core";
 import { expect } from "earl";
 import { describe, it } from "node:test";
-import { type EngineOrder, type Fence, OrderLine, OrderReply, type Registry } from "../index.js";
-import { announcement, registryWith, ScriptedEngine } from "./standins.js";
+import { type EngineOrder, type Fence, OrderDispatcher, OrderReply, type Registry } from "../index.js";
+import { createAnnouncement, createRegistry, ScriptedEngine } from "./fixtures.js";
 
 function order(kind: EngineOrder["kind"], model: string, adapter = ""): EngineOrder {
     return { kind, model, adapter };
@@ -12,19 +12,19 @@
     engine: ScriptedEngine,
     fence: () => Fence | undefined = () => ({ holder: "h", token: 7 }),
 ) {
-    const registry = registryWith(announcement("u", 1));
+    const registry = createRegistry(createAnnouncement("u", 1));
     const changes = new Notifier();
     const fencedIds: string[] = [];
     const unreachableIds: string[] = [];
     const owner = {
         fence,
-        gave: () => undefined,
-        unreachable: (id: string) => unreachableIds.push(id),
-        fenced: (id: string) => fencedIds.push(id),
-        settled: () => changes.notify(),
+        onOrderSent: () => undefined,
+        onUnreachable: (id: string) => unreachableIds.push(id),
+        onFenced: (id: string) => fencedIds.push(id),
+        onChange: () => changes.notify(),
     };
-    const dispatcher = new OrderLine("u", registry, engine, owner, silentLog);
-    await dispatcher.sync();
+    const dispatcher = new OrderDispatcher("u", registry, engine, owner, silentLog);
+    await dispatcher.refresh();
     return { dispatcher, registry, fencedIds, unreachableIds, changes };
 }
 
@@ -40,18 +40,18 @@
         const engine = new ScriptedEngine();
         engine.busy = true;
         const { dispatcher } = await startDispatcher(engine);
-        expect(dispatcher.free).toEqual(false);
+        expect(dispatcher.isReady).toEqual(false);
         engine.busy = false;
-        await dispatcher.sync();
-        expect(dispatcher.free).toEqual(true);
+        await dispatcher.refresh();
+        expect(dispatcher.isReady).toEqual(true);
     });
 
     it("sends nothing while the engine asks this host to back off, and resumes afterwards", async () => {
         const engine = new ScriptedEngine();
         const { dispatcher, registry } = await startDispatcher(engine);
-        engine.restsUntil = steadyNow() + 120;
+        engine.backoffUntil = steadyNow() + 120;
         const startedAt = steadyNow();
-        await dispatcher.give(order("load", "m1"), 1);
+        await dispatcher.execute(order("load", "m1"), 1);
         expect(heldNames(registry)).toEqual(["m1"]);
         expect(steadyNow() - startedAt).toBeGreaterThanOrEqual(120);
     });
@@ -59,7 +59,7 @@
     it("adds a model to the registry once its load has completed", async () => {
         const engine = new ScriptedEngine();
         const { dispatcher, registry } = await startDispatcher(engine);
-        await dispatcher.give(order("load", "m1"), 1);
+        await dispatcher.execute(order("load", "m1"), 1);
         expect(heldNames(registry)).toEqual(["m1"]);
         expect(engine.orders[0].fence).toEqual({ holder: "h", token: 7 });
     });
@@ -67,7 +67,7 @@
     it("lists a model as loading before the engine has accepted the order", async () => {
         const engine = new ScriptedEngine();
         const { dispatcher } = await startDispatcher(engine);
-        const execution = dispatcher.give(order("load", "m1"), 1);
+        const execution = dispatcher.execute(order("load", "m1"), 1);
         expect(dispatcher.loadingModels).toEqual(["m1"]);
         await execution;
         expect(dispatcher.loadingModels).toEqual([]);
@@ -77,11 +77,11 @@
         const engine = new ScriptedEngine();
         engine.models.set("m1", new Set());
         const { dispatcher, registry, changes } = await startDispatcher(engine);
-        await dispatcher.give(order("load", "m1", "a1"), 1);
-        await until(() => dispatcher.adaptersUnderWay.size === 0, changes, 1000, "the adapter to be loaded");
+        await dispatcher.execute(order("load", "m1", "a1"), 1);
+        await until(() => dispatcher.loadingAdapters.size === 0, changes, 1000, "the adapter to be loaded");
         const before = engine.orders.length;
-        await dispatcher.give(order("unload", "m1", "a1"), 1);
-        await dispatcher.give(order("load", "m2"), 1);
+        await dispatcher.execute(order("unload", "m1", "a1"), 1);
+        await dispatcher.execute(order("load", "m2"), 1);
         expect(engine.orders.slice(before).map(({ expected }) => expected)).toEqual([1, 2, 3]);
         expect(heldNames(registry)).toEqual(["m1", "m2"]);
     });
@@ -90,10 +90,10 @@
         const engine = new ScriptedEngine();
         engine.models.set("m1", new Set(["a1"]));
         const { dispatcher, registry } = await startDispatcher(engine);
-        await dispatcher.give(order("unload", "m1", "a1"), 1);
-        expect([dispatcher.free, heldNames(registry)]).toEqual([false, ["m1"]]);
-        await dispatcher.sync();
-        await dispatcher.give(order("load", "m2"), 1);
+        await dispatcher.execute(order("unload", "m1", "a1"), 1);
+        expect([dispatcher.isReady, heldNames(registry)]).toEqual([false, ["m1"]]);
+        await dispatcher.refresh();
+        await dispatcher.execute(order("load", "m2"), 1);
         expect(engine.orders.map(({ expected }) => expected)).toEqual([0, 1, 2]);
         expect(heldNames(registry)).toEqual(["m1", "m2"]);
     });
@@ -101,12 +101,12 @@
     it("resends an unanswered order with the same expected count, so that it is executed once", async () => {
         const engine = new ScriptedEngine();
         const { dispatcher, registry } = await startDispatcher(engine);
-        engine.scripts.push((one, expected) => {
+        engine.handlers.push((one, expected) => {
             // The order is executed, but the reply is lost.
-            engine.carryOut(one, expected);
+            engine.execute(one, expected);
             return OrderReply.unknown;
         });
-        await dispatcher.give(order("load", "m1"), 1);
+        await dispatcher.execute(order("load", "m1"), 1);
         expect([engine.accepted, engine.crashed]).toEqual([1, false]);
         expect(heldNames(registry)).toEqual(["m1"]);
     });
@@ -115,12 +115,12 @@
         const engine = new ScriptedEngine();
         const { dispatcher } = await startDispatcher(engine);
         const late: (() => OrderReply)[] = [];
-        engine.scripts.push((one, expected) => {
-            late.push(() => engine.carryOut(one, expected));
+        engine.handlers.push((one, expected) => {
+            late.push(() => engine.execute(one, expected));
             return OrderReply.unknown;
         });
-        await dispatcher.give(order("load", "m1"), 1);
-        await dispatcher.give(order("unload", "m1"), 1);
+        await dispatcher.execute(order("load", "m1"), 1);
+        await dispatcher.execute(order("unload", "m1"), 1);
         expect(late.map(run => run())).toEqual([OrderReply.conflict]);
         expect([...engine.models.keys()]).toEqual([]);
     });
@@ -129,46 +129,46 @@
         const engine = new ScriptedEngine();
         engine.models.set("m1", new Set());
         const { dispatcher, changes } = await startDispatcher(engine);
-        engine.scripts.push(() => OrderReply.accepted);
+        engine.handlers.push(() => OrderReply.accepted);
         for (let attempt = 0; attempt < 9; attempt++) {
-            engine.scripts.push(() => OrderReply.conflict);
+            engine.handlers.push(() => OrderReply.conflict);
         }
-        await dispatcher.give(order("load", "m1", "a1"), 1);
-        expect(dispatcher.adaptersUnderWay.has("m1/a1")).toEqual(true);
-        await until(() => dispatcher.adaptersUnderWay.size === 0, changes, 10_000, "polling to end");
-        expect(dispatcher.free).toEqual(false);
+        await dispatcher.execute(order("load", "m1", "a1"), 1);
+        expect(dispatcher.loadingAdapters.has("m1/a1")).toEqual(true);
+        await until(() => dispatcher.loadingAdapters.size === 0, changes, 10_000, "polling to end");
+        expect(dispatcher.isReady).toEqual(false);
     });
 
     it("sends no order without an expected count, even if an adapter load fails while another order is in flight", async () => {
         const engine = new ScriptedEngine();
         engine.models.set("m1", new Set());
         const { dispatcher, changes } = await startDispatcher(engine);
-        engine.scripts.push(() => OrderReply.accepted, () => OrderReply.refused, () => OrderReply.accepted);
+        engine.handlers.push(() => OrderReply.accepted, () => OrderReply.refused, () => OrderReply.accepted);
         engine.answerAfterMs = 100;
-        await dispatcher.give(order("load", "m1", "a1"), 1);
+        await dispatcher.execute(order("load", "m1", "a1"), 1);
         // The second order is sent while the first adapter is polled; that poll is answered first.
         await sleep(50);
-        await dispatcher.give(order("load", "m1", "a2"), 1);
-        await until(() => dispatcher.adaptersUnderWay.size === 0, changes, 10_000, "polling to end");
-        expect(dispatcher.free).toEqual(false);
-        await dispatcher.give(order("load", "m1", "a3"), 1);
+        await dispatcher.execute(order("load", "m1", "a2"), 1);
+        await until(() => dispatcher.loadingAdapters.size === 0, changes, 10_000, "polling to end");
+        expect(dispatcher.isReady).toEqual(false);
+        await dispatcher.execute(order("load", "m1", "a3"), 1);
         expect(engine.orders.filter(({ expected }) => !Number.isInteger(expected))).toEqual([]);
     });
 
     it("stops when the engine has seen a higher fencing token", async () => {
         const engine = new ScriptedEngine();
         const { dispatcher, fencedIds } = await startDispatcher(engine);
-        engine.scripts.push(() => OrderReply.fenced);
-        await dispatcher.give(order("load", "m1"), 1);
-        expect([fencedIds, dispatcher.free]).toEqual([["u"], false]);
+        engine.handlers.push(() => OrderReply.fenced);
+        await dispatcher.execute(order("load", "m1"), 1);
+        expect([fencedIds, dispatcher.isReady]).toEqual([["u"], false]);
     });
 
     it("stops when the engine refuses connections, and notifies its owner", async () => {
         const engine = new ScriptedEngine();
         const { dispatcher, unreachableIds } = await startDispatcher(engine);
-        engine.scripts.push(() => OrderReply.unreachable);
-        await dispatcher.give(order("load", "m1"), 1);
-        expect([engine.orders.length, unreachableIds, dispatcher.free]).toEqual([1, ["u"], false]);
+        engine.handlers.push(() => OrderReply.unreachable);
+        await dispatcher.execute(order("load", "m1"), 1);
+        expect([engine.orders.length, unreachableIds, dispatcher.isReady]).toEqual([1, ["u"], false]);
     });
 
     it("sends nothing once its host may no longer send orders", async () => {
@@ -176,7 +176,7 @@
         let fence: Fence | undefined = { holder: "h", token: 7 };
         const { dispatcher } = await startDispatcher(engine, () => fence);
         fence = undefined;
-        await dispatcher.give(order("load", "m1"), 1);
+        await dispatcher.execute(order("load", "m1"), 1);
         expect(engine.orders.length).toEqual(0);
     });
 });
--- a/packages/fleet/src/tests/orderleases.test.ts
+++ b/packages/fleet/src/tests/orderleases.test.ts
@@ -51,7 +51,7 @@
     it("is granted at once if no other host has sent orders", async () => {
         const own = lease(60_000);
         await own.acquire(2, [await startPeer(lease(60_000))], clients(), signal);
-        expect(own.isOpen(2)).toEqual(true);
+        expect(own.isGranted(2)).toEqual(true);
     });
 
     describe("when another host can't be reached", () => {
@@ -62,7 +62,7 @@
             const abort = new AbortController();
             const acquisition = own.acquire(2, [unreachableUrl], clients(), abort.signal);
             await Promise.race([acquisition, sleep(refusedCallMs)]);
-            const isOpen = own.isOpen(2);
+            const isOpen = own.isGranted(2);
             abort.abort();
             await acquisition;
             return isOpen;
@@ -72,15 +72,15 @@
             const waits: unknown[] = [];
             const log: EventLog = { ...silentLog, info: (_event, values) => waits.push(values?.waitMs) };
             const own = new OrderLease(() => 50, log);
-            own.gave();
+            own.recordOrder();
             await sleep(leaseExpiryMs);
             await own.acquire(2, [unreachableUrl], clients(), signal);
-            expect([own.isOpen(2), waits]).toEqual([true, [0]]);
+            expect([own.isGranted(2), waits]).toEqual([true, [0]]);
         });
 
         it("waits until its own lease expires, since the other host may have sent orders meanwhile", async () => {
             const own = lease(60_000);
-            own.gave();
+            own.recordOrder();
             expect(await isGrantedSoon(own)).toEqual(false);
         });
 
@@ -91,7 +91,7 @@
 
     it("waits until the lease of a live holder that has sent orders expires", async () => {
         const previous = lease(60_000);
-        previous.gave();
+        previous.recordOrder();
         const own = lease(60_000);
         const abort = new AbortController();
         const acquisition = own.acquire(2, [await startPeer(previous)], clients(), abort.signal);
@@ -99,17 +99,17 @@
             acquisition.then(() => "open"),
             previous.yieldRequested.wait(10_000).then(() => "asked"),
         ]);
-        expect([first, own.isOpen(2)]).toEqual(["asked", false]);
+        expect([first, own.isGranted(2)]).toEqual(["asked", false]);
         abort.abort();
         await acquisition;
-        expect(own.isOpen(2)).toEqual(false);
+        expect(own.isGranted(2)).toEqual(false);
     });
 
     it("stops the previous holder from sending orders", async () => {
         const previous = lease(0);
         await previous.acquire(1, [], clients(), signal);
-        expect(previous.isOpen(1)).toEqual(true);
+        expect(previous.isGranted(1)).toEqual(true);
         await lease(0).acquire(2, [await startPeer(previous)], clients(), signal);
-        expect(previous.isOpen(1)).toEqual(false);
+        expect(previous.isGranted(1)).toEqual(false);
     });
 });
--- a/packages/fleet/src/tests/healths.test.ts
+++ b/packages/fleet/src/tests/outlierdetectors.test.ts
@@ -1,8 +1,8 @@
 import { create } from "@bufbuild/protobuf";
 import { expect } from "earl";
 import { describe, it, type TestContext } from "node:test";
-import { DemandRequestSchema, HealthWatch, OutlierDetector } from "../index.js";
-import { announcement, registryWith } from "./standins.js";
+import { DemandRequestSchema, OutlierDetector, OutlierMonitor } from "../index.js";
+import { createAnnouncement, createRegistry } from "./fixtures.js";
 
 const peers = Array.from({ length: 12 }, (_, index) => `u${index}`);
 
@@ -70,12 +70,12 @@
 describe("OutlierMonitor", () => {
     function setUpMonitor(t: TestContext) {
         t.mock.timers.enable({ apis: ["Date"], now: 1_000_000 });
-        const registry = registryWith(
-            ...peers.map((id, index) => announcement(id, 1, { address: `10.0.0.${index}:80` })),
+        const registry = createRegistry(
+            ...peers.map((id, index) => createAnnouncement(id, 1, { address: `10.0.0.${index}:80` })),
         );
-        const monitor = new HealthWatch(registry);
+        const monitor = new OutlierMonitor(registry);
         const report = (upstream: string, served: number, failed: number) =>
-            monitor.take(create(DemandRequestSchema, { entry: "e", outcomes: [{ upstream, served, failed }] }));
+            monitor.record(create(DemandRequestSchema, { entry: "e", outcomes: [{ upstream, served, failed }] }));
         peers.forEach(id => report(id, 5, 0));
         return { registry, monitor, report };
     }
@@ -86,10 +86,10 @@
         report("u3", 0, 4);
         expect(registry.get("u3")!.upstream.failingPercent).toBeGreaterThan(30);
         expect(registry.urgentPosition).toBeGreaterThan(before);
-        registry.announce(announcement("u3", 2, { address: "10.0.0.3:80" }));
+        registry.announce(createAnnouncement("u3", 2, { address: "10.0.0.3:80" }));
         expect(registry.get("u3")!.upstream.failingPercent).toBeGreaterThan(30);
         t.mock.timers.tick(2100);
-        monitor.review();
+        monitor.evaluate();
         expect(registry.get("u3")!.upstream.failingPercent).toEqual(0);
     });
 });
--- a/packages/fleet/src/tests/roomengines.ts
+++ b/packages/fleet/src/tests/simulatedengines.ts
@@ -4,17 +4,17 @@
 import { type Configuration } from "@winchpath/declarations";
 import { MismatchSchema } from "../gen/winchpath/fleet/v1/fleet_pb.js";
 import {
-    DemandBook,
     DemandRequestSchema,
-    type EngineCalls,
+    DemandTracker,
+    type EngineClient,
     type EngineOrder,
-    EnginePlacement,
     type EngineReport,
     HeldModelSchema,
     OrderReply,
+    PlacementController,
     Registry,
 } from "../index.js";
-import { announcement, spec } from "./standins.js";
+import { createAnnouncement, spec } from "./fixtures.js";
 
 /** Memory for three models and as many adapters as there are slots. */
 const engineSpec = { ...spec, memoryMb: 302 };
@@ -46,7 +46,7 @@
 export type FirstCheck = "number" | "content";
 
 /** Follows the platform's specification of orders, adapter slots and reports; crashes if ordered over its capacity. */
-export class RoomEngine {
+export class SimulatedEngine {
     /** The order that exceeded the engine's capacity. */
     public crashedBy: EngineOrder | undefined;
     public accepted = 0;
@@ -150,14 +150,14 @@
     private replyIfUnchanged({ kind, model, adapter }: EngineOrder): OrderReply | undefined {
         const adapters = this.models.get(model);
         if (adapter === "") {
-            return (adapters !== undefined) === (kind === "load") ? OrderReply.holds : undefined;
+            return (adapters !== undefined) === (kind === "load") ? OrderReply.done : undefined;
         }
         const state = adapters?.get(adapter)?.state;
         if (state === undefined) {
-            return kind === "unload" && adapters !== undefined ? OrderReply.holds : undefined;
+            return kind === "unload" && adapters !== undefined ? OrderReply.done : undefined;
         }
         if (kind === "load") {
-            return state === "held" ? OrderReply.holds : OrderReply.accepted;
+            return state === "held" ? OrderReply.done : OrderReply.accepted;
         }
         return state === "leaving" ? OrderReply.accepted : undefined;
     }
@@ -214,7 +214,7 @@
             return OrderReply.accepted;
         }
         adapters.delete(name);
-        return OrderReply.holds;
+        return OrderReply.done;
     }
 
     private isWithinCapacity(): boolean {
@@ -238,7 +238,7 @@
 }
 
 /** Demand for one model or adapter, as entries report it to a leader. */
-export interface ToldDemand {
+export interface ReportedDemand {
     readonly model: string;
     readonly adapter: string;
     readonly running: number;
@@ -249,25 +249,25 @@
 export type SendOrder = (order: EngineOrder, expected: number) => Promise<OrderReply>;
 
 /** A leader's registry, demand and placement, for the single engine "u". */
-export class RoomLeader {
+export class SimulatedLeader {
     public readonly registry = new Registry(silentLog);
-    private readonly demand = new DemandBook(silentLog);
+    private readonly demand = new DemandTracker(silentLog);
     private readonly stopped = new AbortController();
-    private readonly placement: EnginePlacement;
+    private readonly placement: PlacementController;
 
     public constructor(
-        private readonly engine: RoomEngine,
-        private readonly needs: () => readonly ToldDemand[],
+        private readonly engine: SimulatedEngine,
+        private readonly needs: () => readonly ReportedDemand[],
         private readonly send: SendOrder = async (order, expected) => engine.order(order, expected),
     ) {
-        this.registry.announce(announcement("u", 1));
+        this.registry.announce(createAnnouncement("u", 1));
         const control = {
             announceMs: 60_000,
             fence: () => ({ holder: "h", token: 7 }),
-            gaveOrder: () => undefined,
+            orderSent: () => undefined,
             configuration: { services: [{ name: "s", engine: engineSpec }] } as unknown as Configuration,
         };
-        this.placement = new EnginePlacement(control, this.registry, this.demand, this.engineCalls(), silentLog);
+        this.placement = new PlacementController(control, this.registry, this.demand, this.engineCalls(), silentLog);
     }
 
     public start(): void {
@@ -308,16 +308,16 @@
         for (const { model, adapter, running, waiting } of this.needs()) {
             const isListed = held.some(({ name, adapters }) => name === model && adapters.includes(adapter));
             if (isListed && running + waiting > 0 && !this.engine.holds(`${model}/${adapter}`)) {
-                this.placement.doubt(create(MismatchSchema, { upstream: "u", model, adapter }));
+                this.placement.resyncAfterMismatch(create(MismatchSchema, { upstream: "u", model, adapter }));
             }
         }
     }
 
-    private engineCalls(): EngineCalls {
+    private engineCalls(): EngineClient {
         return {
-            order: (_upstream, order, expected) => this.send(order, expected),
-            report: async () => this.engine.report(),
-            restMs: () => 0,
+            sendOrder: (_upstream, order, expected) => this.send(order, expected),
+            fetchReport: async () => this.engine.report(),
+            backoffMs: () => 0,
         };
     }
 }
--- a/packages/fleet/src/tests/worlds.test.ts
+++ b/packages/fleet/src/tests/simulations.test.ts
@@ -1,8 +1,8 @@
 /** Breadth-first search of all event sequences up to a bounded length: no engine is ever ordered over its capacity. */
 import { expect } from "earl";
 import { describe, it } from "node:test";
-import { type FirstCheck } from "./roomengines.js";
-import { type Action, Simulation } from "./worlds.js";
+import { type FirstCheck } from "./simulatedengines.js";
+import { type Action, Simulation } from "./simulations.js";
 
 /** Number of actions after the first leader's first order. */
 const depth = Number(process.env.WORLD_DEPTH ?? 6);
--- a/packages/fleet/src/tests/worlds.ts
+++ b/packages/fleet/src/tests/simulations.ts
@@ -4,8 +4,14 @@
  */
 import { mock } from "node:test";
 import { describeOrder, type EngineOrder, OrderReply } from "../index.js";
-import { type FirstCheck, RoomEngine, RoomLeader, type SendOrder, type ToldDemand } from "./roomengines.js";
-import { pass } from "./times.js";
+import { advanceTime } from "./mocktimes.js";
+import {
+    type FirstCheck,
+    type ReportedDemand,
+    type SendOrder,
+    SimulatedEngine,
+    SimulatedLeader,
+} from "./simulatedengines.js";
 
 /** Time until a leader has collected enough reports to send its first order, in milliseconds. */
 const warmUpMs = 1700;
@@ -18,8 +24,8 @@
 /** An adapter with running requests that no leader is informed of. */
 const unreportedAdapter = "m1/a1";
 
-const firstLeaderNeeds: readonly ToldDemand[] = [{ model: "m1", adapter: "a2", running: 0, waiting: 3 }];
-const nextLeaderNeeds: readonly ToldDemand[] = [{ model: "m1", adapter: "a3", running: 0, waiting: 3 }];
+const firstLeaderNeeds: readonly ReportedDemand[] = [{ model: "m1", adapter: "a2", running: 0, waiting: 3 }];
+const nextLeaderNeeds: readonly ReportedDemand[] = [{ model: "m1", adapter: "a3", running: 0, waiting: 3 }];
 
 /** The next event of a simulation. Orders are numbered in the order in which they were sent. */
 export type Action =
@@ -37,14 +43,14 @@
 }
 
 export class Simulation {
-    public readonly engine: RoomEngine;
-    private readonly leaders: RoomLeader[] = [];
+    public readonly engine: SimulatedEngine;
+    private readonly leaders: SimulatedLeader[] = [];
     private pendingOrders: PendingOrder[] = [];
     private sentCount = 0;
     private isInUse = true;
 
     private constructor(firstCheck: FirstCheck) {
-        this.engine = new RoomEngine({ m1: ["a1"] }, firstCheck);
+        this.engine = new SimulatedEngine({ m1: ["a1"] }, firstCheck);
         this.engine.use(unreportedAdapter);
     }
 
@@ -53,7 +59,7 @@
         mock.timers.enable({ apis: ["Date", "setTimeout"], now: startTimeMs });
         const simulation = new Simulation(firstCheck);
         simulation.startLeader(firstLeaderNeeds);
-        await pass(warmUpMs);
+        await advanceTime(warmUpMs);
         for (const action of actions) {
             await simulation.perform(action);
         }
@@ -63,7 +69,7 @@
     /** Lets all tasks stop before the timers are reset, so that none clears a timer of a later simulation. */
     public async end(): Promise<void> {
         this.leaders.forEach(leader => leader.end());
-        await pass(stepMs);
+        await advanceTime(stepMs);
         mock.timers.reset();
     }
 
@@ -102,10 +108,10 @@
         return `leader ${sender}: ${describeOrder(order)}, expected count ${expected}, ${fate}`;
     }
 
-    private startLeader(needs: readonly ToldDemand[]): void {
+    private startLeader(needs: readonly ReportedDemand[]): void {
         const sender = this.leaders.length;
         const send: SendOrder = (order, expected) => this.send(sender, order, expected);
-        const leader = new RoomLeader(this.engine, () => needs, send);
+        const leader = new SimulatedLeader(this.engine, () => needs, send);
         this.leaders.push(leader);
         leader.start();
     }
@@ -116,7 +122,7 @@
                 return this.passUntilOrderSent();
             case "next-leader":
                 this.startLeader(nextLeaderNeeds);
-                return pass(stepMs);
+                return advanceTime(stepMs);
             case "release":
                 this.isInUse = false;
                 this.engine.release(unreportedAdapter);
@@ -129,7 +135,7 @@
     private async passUntilOrderSent(): Promise<void> {
         const before = this.sentCount;
         for (let passed = 0; passed < maxPassMs && this.sentCount === before; passed += stepMs) {
-            await pass(stepMs);
+            await advanceTime(stepMs);
         }
     }
 
@@ -140,7 +146,7 @@
         if (isAnswered) {
             answer?.(reply);
         }
-        await pass(stepMs);
+        await advanceTime(stepMs);
     }
 
     private send(sender: number, order: EngineOrder, expected: number): Promise<OrderReply> {
--- a/packages/fleet/src/tests/takeovers.test.ts
+++ b/packages/fleet/src/tests/takeovers.test.ts
@@ -2,7 +2,7 @@
 import { type PeerClients } from "@winchpath/rpc";
 import { expect } from "earl";
 import { describe, it } from "node:test";
-import { DemandBook, DemandMeter, type DemandRequest, type FollowedLeader } from "../index.js";
+import { DemandMeter, type DemandRequest, DemandTracker, type FollowedLeader } from "../index.js";
 
 const key = { service: "s", model: "m", adapter: "" };
 
@@ -16,7 +16,7 @@
 
     it("learns earlier demand from each entry's first report", async t => {
         t.mock.timers.enable({ apis: ["Date", "setTimeout"], now: 1_000_000 });
-        let book = new DemandBook(silentLog);
+        let book = new DemandTracker(silentLog);
         let followed: FollowedLeader = { url: "http://a", epoch: "1" };
         const client = {
             reportDemand: async (req: DemandRequest) => {
@@ -37,27 +37,27 @@
                 meter.started(key);
                 meter.ended(key);
             }
-            meter.paceOf("s", "m", 9000);
+            meter.recordThroughput("s", "m", 9000);
             await advanceTime(t, 1000);
         }
         const before = book.needs()[0];
-        book = new DemandBook(silentLog);
+        book = new DemandTracker(silentLog);
         followed = { url: "http://b", epoch: "2" };
         meter.arrived(key, 2000);
         await advanceTime(t, 1200);
         const [after] = book.needs();
-        expect(book.isHeard).toEqual(true);
+        expect(book.hasEnoughReports).toEqual(true);
         expect(Math.abs(after.rate / before.rate - 0.8)).toBeLessThan(0.2);
-        expect(book.paceOf("s", "m")).toEqual(9000);
+        expect(book.throughputOf("s", "m")).toEqual(9000);
         abort.abort();
     });
 
     it("that receives no earlier demand waits for three reports", t => {
         t.mock.timers.enable({ apis: ["Date"], now: 1_000_000 });
-        const book = new DemandBook(silentLog);
+        const book = new DemandTracker(silentLog);
         t.mock.timers.tick(1000);
-        expect(book.isHeard).toEqual(false);
+        expect(book.hasEnoughReports).toEqual(false);
         t.mock.timers.tick(500);
-        expect(book.isHeard).toEqual(true);
+        expect(book.hasEnoughReports).toEqual(true);
     });
 });
--- a/packages/forwarding/src/admissions.ts
+++ b/packages/forwarding/src/admissioncontrollers.ts
@@ -1,15 +1,15 @@
 /** Authenticates requests and enforces account limits before a request waits for an upstream. */
 import {
+    type AccountGrant,
     type AccountLimiter,
     type Authenticator,
     type Charge,
     type Denial,
-    type Grant,
-    uncounted,
+    noCharge,
 } from "@winchpath/accounts";
 import { type Route } from "@winchpath/declarations";
-import { LocalResponse } from "./answers.js";
-import { type RequestFacts } from "./codecs.js";
+import { type RequestMetadata } from "./headercodecs.js";
+import { LocalResponse } from "./localresponses.js";
 
 /** Retry-After, in milliseconds, of an entry that cannot verify API keys; another entry may be able to. */
 const unconfirmedRetryMs = 50;
@@ -27,7 +27,7 @@
 export interface Identified {
     readonly kind: "identified";
     /** Undefined if the route is public and the request has no key. */
-    readonly grant: Grant | undefined;
+    readonly grant: AccountGrant | undefined;
 }
 
 export interface Charged {
@@ -35,21 +35,21 @@
     readonly charge: Charge;
 }
 
-export class Admissions {
+export class AdmissionController {
     public constructor(private readonly authenticator: Authenticator, private readonly limiter: AccountLimiter) {}
 
     /** Authenticates a request by its API key. */
-    public identify(route: Route, metadata: RequestFacts): Identified | Refusal {
-        const identity = this.authenticator.identify(route.isPublic ?? false, metadata.key);
+    public identify(route: Route, metadata: RequestMetadata): Identified | Refusal {
+        const identity = this.authenticator.identify(route.isPublic ?? false, metadata.apiKey);
         return identity.kind === "granted"
             ? { kind: "identified", grant: identity.grant }
             : this.refusalFor(identity.why, undefined);
     }
 
     /** Charges the request to its account's limit. */
-    public async charge(grant: Grant | undefined, metadata: RequestFacts): Promise<Charged | Refusal> {
+    public async charge(grant: AccountGrant | undefined, metadata: RequestMetadata): Promise<Charged | Refusal> {
         if (grant === undefined) {
-            return { kind: "charged", charge: uncounted };
+            return { kind: "charged", charge: noCharge };
         }
         const admission = await this.limiter.admit(grant.account, metadata.limitTokens);
         if (admission.kind === "admitted") {
@@ -61,12 +61,12 @@
     }
 
     /** Checks again, before a request is sent, that its API key is still valid. */
-    public denial(grant: Grant | undefined): Refusal | undefined {
+    public denial(grant: AccountGrant | undefined): Refusal | undefined {
         const why = this.authenticator.denial(grant);
         return why === undefined ? undefined : this.refusalFor(why, grant);
     }
 
-    private refusalFor(why: Denial, grant: Grant | undefined): Refusal {
+    private refusalFor(why: Denial, grant: AccountGrant | undefined): Refusal {
         const unconfirmed = why === "unconfirmed";
         return {
             kind: "refused",
