--- a/packages/forwarding/src/attempts.ts
+++ b/packages/forwarding/src/attempts.ts
@@ -2,16 +2,16 @@
 import { Deferred, messageOf, steadyNow } from "@winchpath/core";
 import { type ServerResponse } from "node:http";
 import { type Dispatcher } from "undici";
-import { type AnswerFacts, type RequestCodec, withoutConnectionHeaders } from "./codecs.js";
-import { EventSplitter } from "./events.js";
 import {
     type BufferedResponse,
     hasExplicitLength,
     withoutContentLength,
     writeBufferedResponse,
-} from "./heldanswers.js";
-import { type Job, leftMs } from "./jobs.js";
-import { type UpstreamLink } from "./links.js";
+} from "./bufferedresponses.js";
+import { EventSplitter } from "./eventsplitters.js";
+import { type HeaderCodec, type ResponseMetadata, withoutConnectionHeaders } from "./headercodecs.js";
+import { type InboundRequest, remainingMs } from "./inboundrequests.js";
+import { type UpstreamEndpoint } from "./upstreamendpoints.js";
 
 /**
  * Responses up to this size are buffered completely before they are forwarded, so that a truncated one can be retried.
@@ -46,13 +46,13 @@
     | { readonly kind: "caller-gone"; };
 
 /** Settings and callbacks of an attempt. */
-export interface AttemptParts {
-    readonly codec: RequestCodec;
+export interface AttemptOptions {
+    readonly codec: HeaderCodec;
     readonly res: ServerResponse;
     /** Scheduling priority for the upstream, 0 first; undefined if the upstream does not support it. */
     readonly urgency: number | undefined;
     /** Whether the configuration defines accounts, so that API keys are removed before forwarding. */
-    readonly keysAreOurs: boolean;
+    readonly stripApiKeys: boolean;
     /** Whether responses ask the client to close its connection. */
     readonly closing: () => boolean;
     /** Whether the upstream may still receive the request; checked once a connection is available. */
@@ -62,16 +62,20 @@
      */
     readonly headTimeoutMs: number | undefined;
     /** Called with the metadata of every response, including those that are not forwarded. */
-    readonly onHead: (facts: AnswerFacts) => void;
+    readonly onResponseHead: (metadata: ResponseMetadata) => void;
     /** Called when a valid response has started. */
-    readonly onAnswer: () => void;
+    readonly onResponseStart: () => void;
     /** Called with the time between two consecutive events of a stream, in milliseconds. */
     readonly onPause: (ms: number) => void;
 }
 
 class AttemptAborted extends Error {}
 
-export function attempt(request: Job, endpoint: UpstreamLink, options: AttemptParts): Promise<AttemptOutcome> {
+export function attempt(
+    request: InboundRequest,
+    endpoint: UpstreamEndpoint,
+    options: AttemptOptions,
+): Promise<AttemptOutcome> {
     return new Attempt(request, endpoint, options).run();
 }
 
@@ -87,27 +91,27 @@
     private settled = false;
     private status = 0;
     private headers: readonly string[] = [];
-    private metadata: AnswerFacts | undefined;
+    private metadata: ResponseMetadata | undefined;
     /** Whether this attempt has forwarded any part of the response. */
     private forwarding = false;
 
     public constructor(
-        private readonly request: Job,
-        private readonly endpoint: UpstreamLink,
-        private readonly options: AttemptParts,
+        private readonly request: InboundRequest,
+        private readonly endpoint: UpstreamEndpoint,
+        private readonly options: AttemptOptions,
     ) {}
 
     public async run(): Promise<AttemptOutcome> {
         const { request, endpoint } = this;
         const onClientGone = () => this.cancel({ kind: "caller-gone" });
-        const deadlineTimer = setTimeout(() => this.cancel({ kind: "late" }), Math.max(0, leftMs(request)));
+        const deadlineTimer = setTimeout(() => this.cancel({ kind: "late" }), Math.max(0, remainingMs(request)));
         const connectionTimer = setTimeout(
             () => this.sent || this.settleUnsent("no free connection"),
             connectionWaitMs,
         );
         const headTimer = this.startHeadTimeout();
-        request.gone.addEventListener("abort", onClientGone, { once: true });
-        if (request.gone.aborted) {
+        request.abortSignal.addEventListener("abort", onClientGone, { once: true });
+        if (request.abortSignal.aborted) {
             onClientGone();
         }
         else {
@@ -120,7 +124,7 @@
             clearTimeout(deadlineTimer);
             clearTimeout(connectionTimer);
             clearTimeout(headTimer);
-            request.gone.removeEventListener("abort", onClientGone);
+            request.abortSignal.removeEventListener("abort", onClientGone);
         }
     }
 
@@ -160,11 +164,11 @@
         this.controller = controller;
         this.status = status;
         this.headers = ((controller.rawHeaders ?? []) as Buffer[]).map(part => part.toString("latin1"));
-        this.metadata = this.options.codec.answerFacts(status, this.headers);
+        this.metadata = this.options.codec.responseMetadata(status, this.headers);
         if (this.metadata.load !== undefined) {
             this.endpoint.updateReportedLoad(this.metadata.load);
         }
-        this.options.onHead(this.metadata);
+        this.options.onResponseHead(this.metadata);
         this.validateResponse(this.metadata);
     }
 
@@ -224,10 +228,10 @@
         const headers = options.codec.forwardHeaders(request.headers, {
             upstream: endpoint.description.name,
             account: request.grant?.account,
-            keysAreOurs: options.keysAreOurs,
-            deadlineMs: Math.max(1, Math.round(leftMs(request))),
+            stripApiKeys: options.stripApiKeys,
+            deadlineMs: Math.max(1, Math.round(remainingMs(request))),
             urgency: options.urgency,
-            resumeFrom: request.lastEventId ?? request.facts.resumeFrom,
+            resumeFrom: request.lastEventId ?? request.metadata.resumeFrom,
         });
         return {
             path: request.url,
@@ -238,11 +242,11 @@
     }
 
     /** Rejects responses to other requests and responses without a seal. */
-    private validateResponse(metadata: AnswerFacts): void {
+    private validateResponse(metadata: ResponseMetadata): void {
         if (metadata.id !== this.request.id) {
             this.abort({ kind: "unknown", reason: "response to another request", lost: false });
         }
-        else if (metadata.notRun || metadata.misdirected) {
+        else if (metadata.notExecuted || metadata.misdirected) {
             // The response is read to its end so that the connection can be reused.
             const reason = `status ${this.status}`;
             this.settle({ kind: "not-run", reason, misdirected: metadata.misdirected, unreachable: false });
@@ -252,7 +256,7 @@
             this.abort({ kind: "unknown", reason, lost: false });
         }
         else {
-            this.options.onAnswer();
+            this.options.onResponseStart();
         }
     }
 
@@ -293,11 +297,11 @@
 
     private startResponse(headers: readonly string[]): void {
         this.forwarding = true;
-        if (this.request.answerStarted) {
+        if (this.request.responseStarted) {
             // The client already has the headers of the first upstream of a resumed stream.
             return;
         }
-        this.request.answerStarted = true;
+        this.request.responseStarted = true;
         const kept = withoutConnectionHeaders(headers);
         if (this.options.closing()) {
             kept.push("Connection", "close");
--- a/packages/forwarding/src/heldanswers.ts
+++ b/packages/forwarding/src/bufferedresponses.ts
@@ -1,6 +1,6 @@
 /** Upstream responses that are read completely before they are forwarded. */
 import { type ServerResponse } from "node:http";
-import { headerOf, withoutConnectionHeaders } from "./codecs.js";
+import { headerValue, withoutConnectionHeaders } from "./headercodecs.js";
 
 export interface BufferedResponse {
     readonly status: number;
@@ -28,7 +28,8 @@
 
 /** Whether the headers delimit the body; otherwise it ends when the connection closes. */
 export function hasExplicitLength(headers: readonly string[]): boolean {
-    return headerOf(headers, "content-length") !== undefined || headerOf(headers, "transfer-encoding") !== undefined;
+    return headerValue(headers, "content-length") !== undefined
+        || headerValue(headers, "transfer-encoding") !== undefined;
 }
 
 /** Returns the headers without Content-Length. */
--- a/packages/forwarding/src/doors.ts
+++ b/packages/forwarding/src/clientlisteners.ts
@@ -5,11 +5,11 @@
 import { once } from "node:events";
 import { createServer, type IncomingMessage, type ServerResponse } from "node:http";
 import { type AddressInfo } from "node:net";
-import { type Admissions, type Refusal } from "./admissions.js";
-import { LocalResponse, writeLocalResponse } from "./answers.js";
-import { headerOf, type RequestCodec } from "./codecs.js";
+import { type AdmissionController, type Refusal } from "./admissioncontrollers.js";
 import { type Forwarder } from "./forwarders.js";
-import { type Job } from "./jobs.js";
+import { type HeaderCodec, headerValue } from "./headercodecs.js";
+import { type InboundRequest } from "./inboundrequests.js";
+import { LocalResponse, writeLocalResponse } from "./localresponses.js";
 import { RouteTable, selectTarget } from "./routetables.js";
 
 /** Header limit of the HTTP parser; the lower configured limit is checked afterwards. */
@@ -29,14 +29,14 @@
 
 export interface ListenerDependencies {
     readonly view: FleetView<Configuration>;
-    readonly codec: RequestCodec;
+    readonly codec: HeaderCodec;
     readonly forwarder: Forwarder;
-    readonly admissions: Admissions;
+    readonly admissions: AdmissionController;
     readonly log: EventLog;
     readonly stopping: () => boolean;
 }
 
-export class CallerDoor {
+export class ClientListener {
     private readonly server = createServer({
         maxHeaderSize: maxParsedHeaderBytes,
         connectionsCheckingInterval: timeoutCheckMs,
@@ -122,8 +122,8 @@
         res: ServerResponse,
         startedAt: number,
         abortSignal: AbortSignal,
-    ): Promise<Job | undefined> {
-        const metadata = this.deps.codec.requestFacts(req.rawHeaders);
+    ): Promise<InboundRequest | undefined> {
+        const metadata = this.deps.codec.requestMetadata(req.rawHeaders);
         const table = this.routeTable ?? await this.waitForRoutes(startedAt);
         const refuse = (response: LocalResponse, retryAfterMs?: number) => {
             this.refuse(req, res, metadata.id, { kind: "refused", response, retryAfterMs });
@@ -172,7 +172,7 @@
             url: req.url!,
             headers: req.rawHeaders,
             body,
-            facts: metadata,
+            metadata: metadata,
             route,
             service: selectTarget(route.targets, Math.random()),
             priority: table.priorities.levelOf(route, grant?.priority),
@@ -180,12 +180,12 @@
             charge: charged.charge,
             startedAt,
             deadlineAt: startedAt + Math.max(0, waitMs - responseTransitMs),
-            gone: abortSignal,
-            tried: [],
-            declined: new Set(),
-            lost: 0,
+            abortSignal: abortSignal,
+            attemptedUpstreams: [],
+            declinedUpstreams: new Set(),
+            lostConnections: 0,
             lastEventId: undefined,
-            answerStarted: false,
+            responseStarted: false,
         };
     }
 
@@ -208,7 +208,7 @@
             request: id,
             status: response.status,
             reason: response.reason,
-            host: headerOf(req.rawHeaders, "host"),
+            host: headerValue(req.rawHeaders, "host"),
             path: req.url,
             configuration: this.deps.view.version,
             viewAgeMs: Math.round(this.deps.view.ageMs),
--- a/packages/forwarding/src/linktables.ts
+++ b/packages/forwarding/src/endpointtables.ts
@@ -1,7 +1,7 @@
 /** Upstreams that an entry can send requests to. */
 import { type Configuration } from "@winchpath/declarations";
-import { type FleetView, succeeds, type Upstream, UpstreamState } from "@winchpath/fleet";
-import { UpstreamLink } from "./links.js";
+import { type FleetView, supersedes, type Upstream, UpstreamState } from "@winchpath/fleet";
+import { UpstreamEndpoint } from "./upstreamendpoints.js";
 
 /** Minimum number of connections per entry and upstream. */
 const minConnections = 4;
@@ -9,7 +9,7 @@
 const connectionShare = 0.8;
 
 export class EndpointTable {
-    private readonly endpoints = new Map<string, UpstreamLink>();
+    private readonly endpoints = new Map<string, UpstreamEndpoint>();
 
     public constructor(private readonly view: FleetView<Configuration>) {}
 
@@ -20,7 +20,7 @@
             known.add(upstream.id);
             const endpoint = this.endpoints.get(upstream.id);
             if (endpoint === undefined) {
-                this.endpoints.set(upstream.id, new UpstreamLink(upstream, this.connectionLimit(upstream)));
+                this.endpoints.set(upstream.id, new UpstreamEndpoint(upstream, this.connectionLimit(upstream)));
             }
             else {
                 endpoint.update(upstream);
@@ -35,9 +35,9 @@
     }
 
     /** Lets requests finish on an upstream that is gone, unless it has restarted and lost them. */
-    private closeEndpoint(endpoint: UpstreamLink): void {
-        const successor = this.view.named(endpoint.description.name);
-        if (successor !== undefined && succeeds(successor, endpoint.description)) {
+    private closeEndpoint(endpoint: UpstreamEndpoint): void {
+        const successor = this.view.getByName(endpoint.description.name);
+        if (successor !== undefined && supersedes(successor, endpoint.description)) {
             endpoint.destroyConnections();
         }
         else {
@@ -46,17 +46,17 @@
     }
 
     /** Upstreams of a service that accept new requests. */
-    public ready(service: string): UpstreamLink[] {
+    public ready(service: string): UpstreamEndpoint[] {
         return [...this.endpoints.values()].filter(({ id, description }) =>
             description.service === service && description.state === UpstreamState.READY
-            && !this.view.availability.isLeaving(id)
+            && !this.view.availability.isDraining(id)
         );
     }
 
     /** Whether an upstream still accepts new requests; checked right before sending. */
-    public isReady(endpoint: UpstreamLink): boolean {
+    public isReady(endpoint: UpstreamEndpoint): boolean {
         return this.endpoints.get(endpoint.id) === endpoint && endpoint.description.state === UpstreamState.READY
-            && this.view.availability.sendable(endpoint.id).kind === "open";
+            && this.view.availability.forSending(endpoint.id).kind === "open";
     }
 
     public close(): void {
--- a/packages/forwarding/src/forwarders.ts
+++ b/packages/forwarding/src/forwarders.ts
@@ -1,27 +1,34 @@
 /** Forwards requests to upstreams: selection, waiting, attempts, retries and the final response. */
-import { type RateVerdict } from "@winchpath/availability";
+import { type PermitDecision } from "@winchpath/availability";
 import { type EventLog, Metrics, steadyNow } from "@winchpath/core";
 import { type Configuration, type EngineSpec } from "@winchpath/declarations";
 import { type CrashReporter, type DemandMeter, type FleetView, type ItemKey } from "@winchpath/fleet";
 import { EjectionBook } from "@winchpath/routing";
 import { type ServerResponse } from "node:http";
-import { type Admissions, type Refusal } from "./admissions.js";
-import { LocalResponse } from "./answers.js";
+import { type AdmissionController, type Refusal } from "./admissioncontrollers.js";
 import { attempt, type AttemptOutcome, headTimeoutReason } from "./attempts.js";
-import { type RetryBudgetOptions } from "./budgets.js";
-import { type AnswerFacts, type RequestCodec } from "./codecs.js";
-import { ageMs, isRepeatable, type Job, ownTokensOf, promptEquivalentTokens, tokensOf } from "./jobs.js";
-import { OutcomeRecorder } from "./judges.js";
-import { type UpstreamLink } from "./links.js";
-import { EndpointTable } from "./linktables.js";
-import { ThroughputTable } from "./paces.js";
-import { busyRetryMs, headTimeoutMs, type Unavailable, WaitPolicy } from "./patiences.js";
-import { type Selection, UpstreamSelector } from "./pickers.js";
+import { EndpointTable } from "./endpointtables.js";
+import { type HeaderCodec, type ResponseMetadata } from "./headercodecs.js";
+import {
+    ageMs,
+    type InboundRequest,
+    isRepeatable,
+    promptEquivalentTokens,
+    requiredCacheTokens,
+    unsharedPromptTokens,
+} from "./inboundrequests.js";
+import { LocalResponse } from "./localresponses.js";
+import { OutcomeRecorder } from "./outcomerecorders.js";
 import { isConnectionLost, Quarantine } from "./quarantines.js";
-import { Responder } from "./replies.js";
-import { RetryPolicy } from "./retries.js";
-import { UpstreamSignals } from "./signals.js";
-import { WaitQueue } from "./waitingrooms.js";
+import { Responder } from "./responders.js";
+import { type RetryBudgetOptions } from "./retrybudgets.js";
+import { RetryPolicy } from "./retrypolicies.js";
+import { ThroughputTable } from "./throughputs.js";
+import { type UpstreamEndpoint } from "./upstreamendpoints.js";
+import { type Selection, UpstreamSelector } from "./upstreamselectors.js";
+import { UpstreamSignals } from "./upstreamsignals.js";
+import { busyRetryMs, headTimeoutMs, type Unavailable, WaitPolicy } from "./waitpolicies.js";
+import { WaitQueue } from "./waitqueues.js";
 
 /** Interval at which a waiting request checks whether to keep waiting, in milliseconds. */
 const recheckIntervalMs = 100;
@@ -30,18 +37,18 @@
 
 export interface ForwarderDependencies {
     readonly view: FleetView<Configuration>;
-    readonly codec: RequestCodec;
+    readonly codec: HeaderCodec;
     readonly meter: DemandMeter;
     readonly log: EventLog;
     readonly metrics: Metrics;
     readonly dataCentre: string;
-    readonly budget: RetryBudgetOptions;
-    readonly admissions: Admissions;
-    readonly crashes: Pick<CrashReporter, "lost" | "succeeded">;
+    readonly retryBudget: RetryBudgetOptions;
+    readonly admissions: AdmissionController;
+    readonly crashReporter: Pick<CrashReporter, "lost" | "succeeded">;
     /** Whether the process is shutting down, so that responses close client connections. */
     readonly stopping: () => boolean;
     /** Sends one attempt; replaceable for simulations. */
-    readonly send?: typeof attempt;
+    readonly sendAttempt?: typeof attempt;
     /** Random numbers from 0 to 1 for breaking ties; defaults to Math.random. */
     readonly random?: () => number;
 }
@@ -49,9 +56,9 @@
 type Assignment =
     | {
         readonly kind: "upstream";
-        readonly endpoint: UpstreamLink;
+        readonly endpoint: UpstreamEndpoint;
         /** Whether the upstream had no rate limit when it was selected, or a permit was taken. */
-        readonly verdict: RateVerdict;
+        readonly verdict: PermitDecision;
     }
     | Refusal;
 
@@ -73,11 +80,11 @@
 
     public constructor(private readonly deps: ForwarderDependencies) {
         this.outcomeRecorder = new OutcomeRecorder(this.ejections, deps.meter, deps.log);
-        this.quarantine = new Quarantine(deps.view, deps.crashes);
+        this.quarantine = new Quarantine(deps.view, deps.crashReporter);
         const { availability } = deps.view;
         this.signals = new UpstreamSignals({ ...deps, availability });
         this.endpoints = new EndpointTable(deps.view);
-        this.retryPolicy = new RetryPolicy(deps.view, deps.budget, deps.metrics);
+        this.retryPolicy = new RetryPolicy(deps.view, deps.retryBudget, deps.metrics);
         this.responder = new Responder({ ...deps, waiting: () => this.waitQueue.size });
         const random = deps.random ?? Math.random;
         this.waitPolicy = new WaitPolicy(deps.view, this.endpoints, random);
@@ -101,7 +108,7 @@
     }
 
     /** Forwards one request; resolves once the final response was sent or the client has disconnected. */
-    public async serve(request: Job, res: ServerResponse): Promise<void> {
+    public async serve(request: InboundRequest, res: ServerResponse): Promise<void> {
         const refusal = this.quarantine.refusal(request);
         if (refusal !== undefined) {
             // Checked first, so that a quarantined request neither counts as demand nor earns a retry.
@@ -114,7 +121,7 @@
         this.deps.meter.arrived(key, promptEquivalentTokens(request));
         for (let attemptIndex = 0;; attemptIndex++) {
             const assignment = await this.assign(request);
-            if (request.gone.aborted) {
+            if (request.abortSignal.aborted) {
                 this.responder.logEvent(request, "caller-gone", {});
                 this.refundIfNotRun(request);
                 return;
@@ -133,14 +140,14 @@
     }
 
     /** Refunds the account if no upstream may have executed the request. */
-    private refundIfNotRun(request: Job): void {
-        if (request.tried.length === 0) {
-            request.charge.giveBack();
+    private refundIfNotRun(request: InboundRequest): void {
+        if (request.attemptedUpstreams.length === 0) {
+            request.charge.refund();
         }
     }
 
     /** Selects an upstream, waiting for one as long as that is useful. */
-    private async assign(request: Job): Promise<Assignment> {
+    private async assign(request: InboundRequest): Promise<Assignment> {
         const key = itemKeyOf(request);
         let waitReported = false;
         try {
@@ -159,10 +166,10 @@
                 }
                 if (result.kind === "lacking" && !waitReported) {
                     waitReported = true;
-                    this.deps.meter.waits(key);
+                    this.deps.meter.waitStarted(key);
                 }
                 const waitMs = this.waitPolicy.waitMs(request, result);
-                if (waitMs <= 0 || request.gone.aborted) {
+                if (waitMs <= 0 || request.abortSignal.aborted) {
                     return this.waitPolicy.refusal(request, result);
                 }
                 const assigned = await this.waitForUpstream(request, Math.min(waitMs, recheckIntervalMs));
@@ -173,13 +180,13 @@
         }
         finally {
             if (waitReported) {
-                this.deps.meter.waitsNoMore(key);
+                this.deps.meter.waitEnded(key);
             }
         }
     }
 
-    private waitForUpstream(request: Job, ms: number): Promise<Assignment | undefined> {
-        return this.waitQueue.wait(request.priority, ms, request.gone, () => {
+    private waitForUpstream(request: InboundRequest, ms: number): Promise<Assignment | undefined> {
+        return this.waitQueue.wait(request.priority, ms, request.abortSignal, () => {
             const result = this.tryAssign(request);
             return result.kind === "upstream" ? result : undefined;
         });
@@ -189,17 +196,17 @@
      * Selects an upstream to send the request to. After a back-off, the upstream receives no other request until it
      * has responded.
      */
-    private tryAssign(request: Job): Extract<Assignment, { readonly kind: "upstream"; }> | Unavailable {
+    private tryAssign(request: InboundRequest): Extract<Assignment, { readonly kind: "upstream"; }> | Unavailable {
         const selection = this.selectUpstream(request);
         if (selection.kind !== "upstream") {
             return selection;
         }
         const { availability } = this.deps.view;
         availability.sent(selection.endpoint.id);
-        return { ...selection, verdict: availability.rates.take(selection.endpoint.id) };
+        return { ...selection, verdict: availability.rates.acquirePermit(selection.endpoint.id) };
     }
 
-    private selectUpstream(request: Job): Selection {
+    private selectUpstream(request: InboundRequest): Selection {
         return this.upstreamSelector.select(
             request,
             this.endpoints.ready(request.service),
@@ -207,11 +214,11 @@
         );
     }
 
-    private refuse(request: Job, res: ServerResponse, refusal: Refusal): void {
+    private refuse(request: InboundRequest, res: ServerResponse, refusal: Refusal): void {
         if (refusal.response === LocalResponse.lacking) {
             this.deps.meter.refused(itemKeyOf(request));
         }
-        if (request.tried.length > 0 && refusal.response !== LocalResponse.barred) {
+        if (request.attemptedUpstreams.length > 0 && refusal.response !== LocalResponse.barred) {
             // An upstream may have executed the request, so a "not executed" response would be wrong.
             this.responder.respond(request, res, LocalResponse.failed);
             return;
@@ -220,12 +227,12 @@
     }
 
     /** Returns why the request must not be sent any more; checked before every attempt. */
-    private denial(request: Job): Refusal | undefined {
+    private denial(request: InboundRequest): Refusal | undefined {
         return this.deps.admissions.denial(request.grant) ?? this.quarantine.refusal(request);
     }
 
     private async sendAttempt(
-        request: Job,
+        request: InboundRequest,
         { endpoint, verdict }: Extract<Assignment, { readonly kind: "upstream"; }>,
         res: ServerResponse,
         key: ItemKey,
@@ -233,30 +240,30 @@
     ): Promise<AttemptOutcome> {
         const { meter, codec, stopping } = this.deps;
         const startedAt = steadyNow();
-        let responseMetadata: AnswerFacts | undefined;
+        let responseMetadata: ResponseMetadata | undefined;
         let firstByteMs: number | undefined;
         let longestPauseMs = 0;
-        const tracked = endpoint.track(request.priority, ownTokensOf(request), tokensOf(request));
+        const tracked = endpoint.track(request.priority, unsharedPromptTokens(request), requiredCacheTokens(request));
         meter.started(key);
         this.ejections.sent(endpoint.id);
-        request.tried.push(endpoint.id);
+        request.attemptedUpstreams.push(endpoint.id);
         try {
-            const outcome = await (this.deps.send ?? attempt)(request, endpoint, {
+            const outcome = await (this.deps.sendAttempt ?? attempt)(request, endpoint, {
                 codec,
                 res,
                 urgency: this.engineOf(request.service) === undefined ? undefined : Math.min(9, request.priority),
-                keysAreOurs: this.deps.view.configuration?.accounts !== undefined,
+                stripApiKeys: this.deps.view.configuration?.accounts !== undefined,
                 closing: stopping,
                 maySend: () => this.maySend(request, endpoint, verdict),
                 headTimeoutMs: this.headTimeoutMs(request, tracked.tokensAhead),
                 onPause: ms => {
                     longestPauseMs = Math.max(longestPauseMs, ms);
                 },
-                onHead: metadata => {
+                onResponseHead: metadata => {
                     responseMetadata = metadata;
                     this.signals.handle(request, endpoint, metadata, startedAt);
                 },
-                onAnswer: () => {
+                onResponseStart: () => {
                     firstByteMs = Math.round(ageMs(request));
                     tracked.markPromptRead();
                     this.recordThroughput(request, tracked.tokensAhead, steadyNow() - startedAt);
@@ -296,31 +303,31 @@
     }
 
     /** Checks again once a connection is available: the upstream may have set a rate limit while the request waited. */
-    private maySend(request: Job, endpoint: UpstreamLink, verdict: RateVerdict): boolean {
+    private maySend(request: InboundRequest, endpoint: UpstreamEndpoint, verdict: PermitDecision): boolean {
         return this.endpoints.isReady(endpoint) && this.denial(request) === undefined
-            && (verdict === "permitted" || this.deps.view.availability.rates.take(endpoint.id) !== "refused");
+            && (verdict === "permitted" || this.deps.view.availability.rates.acquirePermit(endpoint.id) !== "refused");
     }
 
     /** Undefined if the request must not be repeated, or has no attempts left. */
-    private headTimeoutMs(request: Job, tokensAhead: number): number | undefined {
-        if (!isRepeatable(request) || request.tried.length >= request.route.maxAttempts) {
+    private headTimeoutMs(request: InboundRequest, tokensAhead: number): number | undefined {
+        if (!isRepeatable(request) || request.attemptedUpstreams.length >= request.route.maxAttempts) {
             return undefined;
         }
-        return headTimeoutMs(request, this.throughput.durationMs(request.service, request.facts.model, tokensAhead));
+        return headTimeoutMs(request, this.throughput.durationMs(request.service, request.metadata.model, tokensAhead));
     }
 
-    private recordThroughput(request: Job, tokens: number, ms: number): void {
-        const { model } = request.facts;
+    private recordThroughput(request: InboundRequest, tokens: number, ms: number): void {
+        const { model } = request.metadata;
         this.throughput.addSample(request.service, model, tokens, ms);
         const tokensPerSecond = this.throughput.tokensPerSecond(request.service, model);
         if (tokensPerSecond !== undefined && this.engineOf(request.service) !== undefined) {
-            this.deps.meter.paceOf(request.service, model, tokensPerSecond);
+            this.deps.meter.recordThroughput(request.service, model, tokensPerSecond);
         }
     }
 
     private handleOutcome(
-        request: Job,
-        endpoint: UpstreamLink,
+        request: InboundRequest,
+        endpoint: UpstreamEndpoint,
         outcome: AttemptOutcome,
         res: ServerResponse,
     ): NextStep {
@@ -336,8 +343,8 @@
                 this.responder.respond(request, res, LocalResponse.late);
                 return "done";
             case "not-run":
-                request.tried.splice(request.tried.lastIndexOf(endpoint.id), 1);
-                request.declined.add(endpoint.id);
+                request.attemptedUpstreams.splice(request.attemptedUpstreams.lastIndexOf(endpoint.id), 1);
+                request.declinedUpstreams.add(endpoint.id);
                 return this.handleDeclined(request, res);
             case "failure":
                 if (
@@ -354,7 +361,7 @@
         }
     }
 
-    private handleDeclined(request: Job, res: ServerResponse): NextStep {
+    private handleDeclined(request: InboundRequest, res: ServerResponse): NextStep {
         const denied = this.denial(request);
         if (denied !== undefined) {
             this.refuse(request, res, denied);
@@ -373,7 +380,7 @@
         return "done";
     }
 
-    private handleFailed(request: Job, res: ServerResponse, broken: boolean): NextStep {
+    private handleFailed(request: InboundRequest, res: ServerResponse, broken: boolean): NextStep {
         const resumable = !broken || (request.route.resumable && request.lastEventId !== undefined);
         if (
             isRepeatable(request) && resumable && this.quarantine.isRetryAllowed(request)
@@ -394,6 +401,6 @@
     return outcome.kind === "late" || (outcome.kind === "unknown" && outcome.reason === headTimeoutReason);
 }
 
-function itemKeyOf(request: Job): ItemKey {
-    return { service: request.service, model: request.facts.model, adapter: request.facts.adapter };
+function itemKeyOf(request: InboundRequest): ItemKey {
+    return { service: request.service, model: request.metadata.model, adapter: request.metadata.adapter };
 }
--- a/packages/forwarding/src/codecs.ts
+++ b/packages/forwarding/src/headercodecs.ts
@@ -10,11 +10,11 @@
 }
 
 /** Metadata of a request, parsed from its headers. */
-export interface RequestFacts {
+export interface RequestMetadata {
     /** Undefined if the client sent none. */
     readonly id: string | undefined;
     /** API key of the client account; undefined if there is none, or more than one. */
-    readonly key: string | undefined;
+    readonly apiKey: string | undefined;
     /** How long the client waits for the response, in milliseconds. */
     readonly deadlineMs: number | undefined;
     /** Empty if the request names no model. */
@@ -29,21 +29,21 @@
      */
     readonly limitTokens: number | undefined;
     /** The client's estimate of the output length. */
-    readonly likelyOutputTokens: number | undefined;
+    readonly expectedOutputTokens: number | undefined;
     /** Segments of the prompt in order; the last one is specific to the request or its session. */
-    readonly parts: readonly PromptPart[];
+    readonly promptParts: readonly PromptPart[];
     /** Id of the event after which a stream is resumed. */
     readonly resumeFrom: string | undefined;
 }
 
 /** Values that the entry adds to the headers of a forwarded request. */
-export interface ForwardFacts {
+export interface ForwardingMetadata {
     /** Name of the upstream; any other one must decline the request. */
     readonly upstream: string;
     /** Account of the client; undefined if there is none. */
     readonly account: string | undefined;
     /** Whether API keys are removed before forwarding. */
-    readonly keysAreOurs: boolean;
+    readonly stripApiKeys: boolean;
     /** Time left until the deadline, in milliseconds. */
     readonly deadlineMs: number;
     /** 0 is the most urgent. */
@@ -60,13 +60,13 @@
 }
 
 /** Metadata of a response, parsed from its status and headers. */
-export interface AnswerFacts {
+export interface ResponseMetadata {
     /** Id of the request that the response belongs to. */
     readonly id: string | undefined;
     /** Whether the response has the seal that upstreams set on every complete response. */
     readonly sealed: boolean;
     /** Whether the upstream declares that it has not executed the request. */
-    readonly notRun: boolean;
+    readonly notExecuted: boolean;
     /** Whether the upstream does not hold the model, or is not the instance that the request was addressed to. */
     readonly misdirected: boolean;
     readonly load: ReportedLoad | undefined;
@@ -82,14 +82,14 @@
      */
     readonly limitPerSecond: number | undefined;
     /** Unrecognized header names, in lower case. */
-    readonly unknown: readonly string[];
+    readonly unknownHeaders: readonly string[];
 }
 
-export interface RequestCodec {
-    requestFacts(headers: RawHeaders): RequestFacts;
+export interface HeaderCodec {
+    requestMetadata(headers: RawHeaders): RequestMetadata;
     /** Returns the headers for the upstream: end-to-end headers of the client, plus those that the entry sets. */
-    forwardHeaders(headers: RawHeaders, facts: ForwardFacts): string[];
-    answerFacts(status: number, headers: RawHeaders): AnswerFacts;
+    forwardHeaders(headers: RawHeaders, metadata: ForwardingMetadata): string[];
+    responseMetadata(status: number, headers: RawHeaders): ResponseMetadata;
 }
 
 /** Hop-by-hop headers, in lower case. */
@@ -125,12 +125,12 @@
 }
 
 /** Returns the first value of a header; `name` is in lower case. */
-export function headerOf(headers: RawHeaders, name: string): string | undefined {
-    return valuesOf(headers, name).next().value ?? undefined;
+export function headerValue(headers: RawHeaders, name: string): string | undefined {
+    return headerValues(headers, name).next().value ?? undefined;
 }
 
 /** Returns all values of a header; `name` is in lower case. */
-export function* valuesOf(headers: RawHeaders, name: string): Generator<string, void> {
+export function* headerValues(headers: RawHeaders, name: string): Generator<string, void> {
     for (let index = 0; index < headers.length; index += 2) {
         if (headers[index].toLowerCase() === name) {
             yield headers[index + 1];
--- a/packages/forwarding/src/jobs.ts
+++ b/packages/forwarding/src/inboundrequests.ts
@@ -1,12 +1,12 @@
 /** A client's request and its state while it is being forwarded. */
-import { type Charge, type Grant } from "@winchpath/accounts";
+import { type AccountGrant, type Charge } from "@winchpath/accounts";
 import { steadyNow } from "@winchpath/core";
 import { type Route } from "@winchpath/declarations";
 import { type RequestIdentity } from "@winchpath/quarantine";
-import { type RawHeaders, type RequestFacts } from "./codecs.js";
+import { type RawHeaders, type RequestMetadata } from "./headercodecs.js";
 
 /** A request with its body, metadata and forwarding state. */
-export interface Job {
+export interface InboundRequest {
     readonly id: string;
     readonly method: string;
     /** Host header as sent by the client. */
@@ -15,13 +15,13 @@
     readonly url: string;
     readonly headers: RawHeaders;
     readonly body: Buffer;
-    readonly facts: RequestFacts;
+    readonly metadata: RequestMetadata;
     readonly route: Route;
     readonly service: string;
     /** 0 is the most urgent. */
     readonly priority: number;
     /** Account access granted to the client; undefined on public routes. */
-    readonly grant: Grant | undefined;
+    readonly grant: AccountGrant | undefined;
     /** Amount charged to the account's limit. */
     readonly charge: Charge;
     /** Monotonic time at which the headers were read. */
@@ -29,31 +29,31 @@
     /** Monotonic time by which the final response is sent, from the client's deadline and the route's timeout. */
     readonly deadlineAt: number;
     /** Aborted when the client disconnects. */
-    readonly gone: AbortSignal;
+    readonly abortSignal: AbortSignal;
     /** Upstreams that may have executed the request. */
-    readonly tried: string[];
+    readonly attemptedUpstreams: string[];
     /** Upstreams that declined the request without executing it. */
-    readonly declined: Set<string>;
+    readonly declinedUpstreams: Set<string>;
     /** Number of attempts during which the connection to the upstream was lost. */
-    lost: number;
+    lostConnections: number;
     /** Id of the last event that was forwarded completely. */
     lastEventId: string | undefined;
     /** Whether part of a response has been sent to the client. */
-    answerStarted: boolean;
+    responseStarted: boolean;
 }
 
 /** Returns the attributes by which repeated requests are recognized. */
-export function identityOf({ method, host, url, grant, body }: Job): RequestIdentity {
+export function identityOf({ method, host, url, grant, body }: InboundRequest): RequestIdentity {
     return { method, host, url, account: grant?.account, body };
 }
 
 /** Whether the request may be executed more than once. */
-export function isRepeatable(request: Job): boolean {
+export function isRepeatable(request: InboundRequest): boolean {
     const { kind, resumable } = request.route;
     return kind === "safe" || (kind === "streaming" && resumable);
 }
 
-export function leftMs(request: Job): number {
+export function remainingMs(request: InboundRequest): number {
     return request.deadlineAt - steadyNow();
 }
 
@@ -63,42 +63,42 @@
 const clientTimeoutPauses = 8;
 
 /** Returns the time left for the first event before the client gives up, in milliseconds. */
-export function firstEventRemainingMs(request: Job): number {
+export function firstEventRemainingMs(request: InboundRequest): number {
     const { kind, objectiveMs, pauseMs } = request.route;
     if (kind !== "streaming") {
-        return leftMs(request);
+        return remainingMs(request);
     }
     const clientTimeoutMs = Math.max(
         minClientTimeoutMs,
         clientTimeoutObjectives * objectiveMs,
         clientTimeoutPauses * pauseMs,
     );
-    return Math.min(leftMs(request), clientTimeoutMs - ageMs(request));
+    return Math.min(remainingMs(request), clientTimeoutMs - ageMs(request));
 }
 
-export function ageMs(request: Job): number {
+export function ageMs(request: InboundRequest): number {
     return steadyNow() - request.startedAt;
 }
 
 /** Estimates the tokens that the request occupies in an engine's cache; shared prompt segments are cached once. */
-export function tokensOf(request: Job): number {
-    return ownTokensOf(request) + estimateOutputTokens(request);
+export function requiredCacheTokens(request: InboundRequest): number {
+    return unsharedPromptTokens(request) + estimateOutputTokens(request);
 }
 
 /** Time to generate one output token, expressed in prompt tokens. */
 const promptTokensPerOutput = 10;
 
 /** Estimates the engine time that a request needs, in prompt tokens. */
-export function promptEquivalentTokens(request: Job): number {
-    return ownTokensOf(request) + estimateOutputTokens(request) * promptTokensPerOutput;
+export function promptEquivalentTokens(request: InboundRequest): number {
+    return unsharedPromptTokens(request) + estimateOutputTokens(request) * promptTokensPerOutput;
 }
 
 /** Tokens of the prompt that are not shared with other requests and therefore always processed. */
-export function ownTokensOf(request: Job): number {
-    return request.facts.parts.at(-1)?.tokens ?? request.facts.promptTokens;
+export function unsharedPromptTokens(request: InboundRequest): number {
+    return request.metadata.promptParts.at(-1)?.tokens ?? request.metadata.promptTokens;
 }
 
-function estimateOutputTokens(request: Job): number {
-    const { likelyOutputTokens, maxOutputTokens } = request.facts;
+function estimateOutputTokens(request: InboundRequest): number {
+    const { expectedOutputTokens: likelyOutputTokens, maxOutputTokens } = request.metadata;
     return Math.min(likelyOutputTokens ?? maxOutputTokens, maxOutputTokens);
 }
--- a/packages/forwarding/src/judges.ts
+++ b/packages/forwarding/src/outcomerecorders.ts
@@ -3,7 +3,7 @@
 import { type DemandMeter } from "@winchpath/fleet";
 import { type EjectionBook } from "@winchpath/routing";
 import { type AttemptOutcome } from "./attempts.js";
-import { ageMs, type Job } from "./jobs.js";
+import { ageMs, type InboundRequest } from "./inboundrequests.js";
 
 /** Multiple of the objective after which a missing first event counts as a failure of the upstream. */
 const firstByteObjectives = 2;
@@ -15,16 +15,16 @@
         private readonly log: EventLog,
     ) {}
 
-    public record(request: Job, upstream: string, outcome: AttemptOutcome): void {
+    public record(request: InboundRequest, upstream: string, outcome: AttemptOutcome): void {
         this.updateEjections(request, upstream, outcome);
         const failed = upstreamFailed(request, outcome);
         if (failed !== undefined) {
             // The leader detects failure rates that are too low for a single entry to notice.
-            this.meter.outcome(upstream, failed);
+            this.meter.recordOutcome(upstream, failed);
         }
     }
 
-    private updateEjections(request: Job, upstream: string, outcome: AttemptOutcome): void {
+    private updateEjections(request: InboundRequest, upstream: string, outcome: AttemptOutcome): void {
         switch (outcome.kind) {
             case "answered":
                 this.ejections.succeeded(upstream);
@@ -45,24 +45,24 @@
     }
 
     private recordNotRun(
-        request: Job,
+        request: InboundRequest,
         upstream: string,
         outcome: AttemptOutcome & { readonly kind: "not-run"; },
     ): void {
         if (outcome.misdirected) {
-            const { model, adapter } = request.facts;
-            this.meter.mismatch({ $typeName: "winchpath.fleet.v1.Mismatch", upstream, model, adapter });
+            const { model, adapter } = request.metadata;
+            this.meter.recordMismatch({ $typeName: "winchpath.fleet.v1.Mismatch", upstream, model, adapter });
         }
         if (outcome.unreachable) {
             this.ejections.unreachable(upstream);
-            this.meter.missed(upstream);
+            this.meter.connectionFailed(upstream);
             this.log.warn("upstream.ejected", { upstream, reason: outcome.reason });
         }
     }
 }
 
 /** Whether the upstream failed the request; undefined if the outcome is inconclusive. */
-function upstreamFailed(request: Job, outcome: AttemptOutcome): boolean | undefined {
+function upstreamFailed(request: InboundRequest, outcome: AttemptOutcome): boolean | undefined {
     switch (outcome.kind) {
         case "answered":
             return false;
@@ -73,7 +73,7 @@
             return true;
         case "late":
         case "caller-gone":
-            return !request.answerStarted && ageMs(request) > request.route.objectiveMs * firstByteObjectives
+            return !request.responseStarted && ageMs(request) > request.route.objectiveMs * firstByteObjectives
                 ? true
                 : undefined;
         case "not-run":
--- a/packages/forwarding/src/quarantines.ts
+++ b/packages/forwarding/src/quarantines.ts
@@ -1,11 +1,11 @@
 /** Reports requests during which upstreams crashed, and refuses quarantined ones. */
 import { type CrashReporter, type FleetView } from "@winchpath/fleet";
-import { GoodEnds, type ListedRequest, mostEndsOfOneRequest } from "@winchpath/quarantine";
-import { type Refusal } from "./admissions.js";
-import { LocalResponse } from "./answers.js";
+import { type ListedRequest, maxCrashesPerRequest, RecentSuccesses } from "@winchpath/quarantine";
+import { type Refusal } from "./admissioncontrollers.js";
 import { type AttemptOutcome } from "./attempts.js";
-import { identityOf, type Job } from "./jobs.js";
-import { type UpstreamLink } from "./links.js";
+import { identityOf, type InboundRequest } from "./inboundrequests.js";
+import { LocalResponse } from "./localresponses.js";
+import { type UpstreamEndpoint } from "./upstreamendpoints.js";
 
 /**
  * An upstream that crashes this long after the start of a response, in milliseconds, was not crashed by that request.
@@ -25,7 +25,7 @@
 }
 
 export class Quarantine {
-    private readonly recentSuccesses = new GoodEnds();
+    private readonly recentSuccesses = new RecentSuccesses();
 
     public constructor(
         private readonly view: Pick<FleetView<unknown>, "quarantine">,
@@ -33,7 +33,7 @@
     ) {}
 
     /** Returns the refusal of a quarantined request; undefined if it may be forwarded. */
-    public refusal(request: Job): Refusal | undefined {
+    public refusal(request: InboundRequest): Refusal | undefined {
         const entry = this.quarantineEntry(request);
         if (entry?.standing !== "barred") {
             return undefined;
@@ -47,14 +47,14 @@
      * Whether a request may be retried after its connection was lost. Not if this happened twice, or if the request is
      * listed as a suspect; the client may still retry.
      */
-    public isRetryAllowed(request: Job): boolean {
-        return request.lost < mostEndsOfOneRequest && this.quarantineEntry(request) === undefined;
+    public isRetryAllowed(request: InboundRequest): boolean {
+        return request.lostConnections < maxCrashesPerRequest && this.quarantineEntry(request) === undefined;
     }
 
     /** Records the outcome of an attempt and reports suspected crashes. */
     public recordOutcome(
-        request: Job,
-        endpoint: UpstreamLink,
+        request: InboundRequest,
+        endpoint: UpstreamEndpoint,
         outcome: AttemptOutcome,
         { sentAt, ranMs }: AttemptTiming,
     ): void {
@@ -65,7 +65,7 @@
         if (!isConnectionLost(outcome)) {
             return;
         }
-        request.lost += 1;
+        request.lostConnections += 1;
         if ((ranMs ?? 0) > maxCrashDelayMs) {
             return;
         }
@@ -75,15 +75,15 @@
         }
     }
 
-    public fingerprint(request: Job): string | undefined {
+    public fingerprint(request: InboundRequest): string | undefined {
         return this.view.quarantine.fingerprint(identityOf(request));
     }
 
-    private recordSuccess(request: Job): void {
+    private recordSuccess(request: InboundRequest): void {
         if (request.body.length <= maxRememberedBodyBytes) {
             const fingerprint = this.fingerprint(request);
             if (fingerprint !== undefined) {
-                this.recentSuccesses.note(fingerprint);
+                this.recentSuccesses.record(fingerprint);
             }
         }
         const entry = this.quarantineEntry(request);
@@ -92,8 +92,8 @@
         }
     }
 
-    private quarantineEntry(request: Job): ListedRequest | undefined {
-        return this.view.quarantine.standingOf(identityOf(request));
+    private quarantineEntry(request: InboundRequest): ListedRequest | undefined {
+        return this.view.quarantine.find(identityOf(request));
     }
 }
 
--- a/packages/forwarding/src/replies.ts
+++ b/packages/forwarding/src/responders.ts
@@ -2,9 +2,9 @@
 import { type EventLog, type Metrics } from "@winchpath/core";
 import { type FleetView } from "@winchpath/fleet";
 import { type ServerResponse } from "node:http";
-import { LocalResponse, writeLocalResponse } from "./answers.js";
-import { type BufferedResponse, writeBufferedResponse } from "./heldanswers.js";
-import { ageMs, type Job } from "./jobs.js";
+import { type BufferedResponse, writeBufferedResponse } from "./bufferedresponses.js";
+import { ageMs, type InboundRequest } from "./inboundrequests.js";
+import { LocalResponse, writeLocalResponse } from "./localresponses.js";
 
 export interface ResponderDependencies {
     readonly view: Pick<FleetView<unknown>, "version" | "ageMs">;
@@ -22,8 +22,8 @@
     public constructor(private readonly deps: ResponderDependencies) {}
 
     /** Forwards a buffered non-success response of an upstream. */
-    public forward(request: Job, res: ServerResponse, response: BufferedResponse): void {
-        if (request.answerStarted) {
+    public forward(request: InboundRequest, res: ServerResponse, response: BufferedResponse): void {
+        if (request.responseStarted) {
             this.abort(request, res);
             return;
         }
@@ -33,13 +33,13 @@
 
     /** Sends a generated response; closes the connection instead if a response has already started. */
     public respond(
-        request: Job,
+        request: InboundRequest,
         res: ServerResponse,
         response: LocalResponse,
         retryAfterMs?: number,
         details: LogFields = {},
     ): void {
-        if (request.answerStarted) {
+        if (request.responseStarted) {
             this.abort(request, res);
             return;
         }
@@ -56,14 +56,14 @@
         writeLocalResponse(res, response, { retryAfterMs, close });
     }
 
-    public recordMetrics(request: Job, outcome: string): void {
+    public recordMetrics(request: InboundRequest, outcome: string): void {
         this.deps.metrics.count("requests_total", { route: request.route.name, outcome });
         this.deps.metrics.histogram("request", { route: request.route.name, outcome }).record(ageMs(request));
     }
 
     /** Logs an event of a request; everything but a successful attempt is logged as a warning. */
-    public logEvent(request: Job, event: string, fields: LogFields): void {
-        const { model, adapter } = request.facts;
+    public logEvent(request: InboundRequest, event: string, fields: LogFields): void {
+        const { model, adapter } = request.metadata;
         const failed = event !== "attempt" || fields.outcome !== "answered";
         const entry = {
             request: request.id,
@@ -83,7 +83,7 @@
     }
 
     /** Closes the connection of a response that cannot be completed. */
-    private abort(request: Job, res: ServerResponse): void {
+    private abort(request: InboundRequest, res: ServerResponse): void {
         this.recordMetrics(request, "cut");
         this.logEvent(request, "cut", this.viewFields());
         res.destroy();
--- a/packages/forwarding/src/retries.ts
+++ b/packages/forwarding/src/retrypolicies.ts
@@ -1,9 +1,9 @@
 /** Decides whether a request is retried, by its route, its deadline and the retry budget. */
 import { type Metrics } from "@winchpath/core";
 import { type FleetView } from "@winchpath/fleet";
-import { RetryBudget, type RetryBudgetOptions } from "./budgets.js";
-import { type Job, leftMs } from "./jobs.js";
-import { minAttemptMs } from "./patiences.js";
+import { type InboundRequest, remainingMs } from "./inboundrequests.js";
+import { RetryBudget, type RetryBudgetOptions } from "./retrybudgets.js";
+import { minAttemptMs } from "./waitpolicies.js";
 
 /** Number of upstreams that may decline a request before it is refused. */
 const maxDeclines = 3;
@@ -19,22 +19,22 @@
     ) {}
 
     /** Records an incoming request, which adds to the retry budget. */
-    public recordRequest(request: Job): void {
+    public recordRequest(request: InboundRequest): void {
         this.budget(request.service).recordRequest();
     }
 
     /** Takes a retry after a failed or lost attempt; returns false if none is allowed. */
-    public acquireAfterFailure(request: Job): boolean {
-        return request.tried.length < request.route.maxAttempts && this.acquire(request);
+    public acquireAfterFailure(request: InboundRequest): boolean {
+        return request.attemptedUpstreams.length < request.route.maxAttempts && this.acquire(request);
     }
 
     /** Takes a retry after an upstream declined the request; returns false if none is allowed. */
-    public acquireAfterDecline(request: Job): boolean {
-        return request.declined.size < maxDeclines && this.acquire(request);
+    public acquireAfterDecline(request: InboundRequest): boolean {
+        return request.declinedUpstreams.size < maxDeclines && this.acquire(request);
     }
 
-    private acquire(request: Job): boolean {
-        if (leftMs(request) <= minAttemptMs) {
+    private acquire(request: InboundRequest): boolean {
+        if (remainingMs(request) <= minAttemptMs) {
             return false;
         }
         const taken = this.budget(request.service).trySpend(this.view.entries);
--- a/packages/forwarding/src/routetables.ts
+++ b/packages/forwarding/src/routetables.ts
@@ -1,6 +1,6 @@
 /** Matches requests to routes by host and path. */
 import { type Configuration, type Route, type RouteTarget } from "@winchpath/declarations";
-import { PriorityLevels } from "./priorities.js";
+import { PriorityLevels } from "./prioritylevels.js";
 
 export class RouteTable {
     /** Routes by host, sorted by descending prefix length. */
--- a/packages/forwarding/src/tests/accounts.test.ts
+++ b/packages/forwarding/src/tests/accounts.test.ts
@@ -1,7 +1,7 @@
 import { type ClientAccount, keyDigest } from "@winchpath/declarations";
 import { expect } from "earl";
 import { afterEach, describe, it } from "node:test";
-import { completeResponse, RawUpstream, type ReceivedRequest, TestEntry, testRoute } from "./standins.js";
+import { completeResponse, RawUpstream, type ReceivedRequest, TestEntry, testRoute } from "./testservers.js";
 
 const accounts: ClientAccount[] = [
     { name: "commune", keyDigests: [keyDigest("k1")], priority: 0 },
@@ -31,7 +31,7 @@
         entry = new TestEntry(configuration, 10, { strict: options.strict ?? true, withinMs: 5000 });
         await entry.start();
         entry.setUpstreams({ id: "u0@5", name: "u0", address: upstream.address });
-        entry.limiter.follow(accounts, 1);
+        entry.limiter.setAccounts(accounts, 1);
     }
 
     const keyed = (key: string, more: object = {}) => ({ headers: { "X-Key": key, ...more } });
@@ -61,7 +61,7 @@
 
     it("returns 429 with Retry-After above the limit", async () => {
         await setUp();
-        entry.limiter.take([], [{
+        entry.limiter.applyAllowances([], [{
             account: "small",
             strict: true,
             grant: 1,
--- a/packages/forwarding/src/tests/forwarding.test.ts
+++ b/packages/forwarding/src/tests/forwarding.test.ts
@@ -4,7 +4,7 @@
 import { once } from "node:events";
 import { Agent } from "node:http";
 import { afterEach, describe, it } from "node:test";
-import { completeResponse, RawUpstream, type ReceivedRequest, TestEntry, testRoute } from "./standins.js";
+import { completeResponse, RawUpstream, type ReceivedRequest, TestEntry, testRoute } from "./testservers.js";
 
 describe("an entry", () => {
     const upstreams: RawUpstream[] = [];
--- a/packages/forwarding/src/tests/priorities.test.ts
+++ b/packages/forwarding/src/tests/prioritylevels.test.ts
@@ -2,7 +2,7 @@
 import { expect } from "earl";
 import { describe, it } from "node:test";
 import { PriorityLevels } from "../index.js";
-import { TestEntry, testRoute } from "./standins.js";
+import { TestEntry, testRoute } from "./testservers.js";
 
 const routes = [0, 1, 2].map(priority => testRoute({ name: `r${priority}`, prefix: `/${priority}/`, priority }));
 const account = (name: string, priority?: number): ClientAccount =>
--- a/packages/forwarding/src/tests/quarantine.test.ts
+++ b/packages/forwarding/src/tests/quarantine.test.ts
@@ -2,7 +2,7 @@
 import { type ListedRequest } from "@winchpath/quarantine";
 import { expect } from "earl";
 import { afterEach, describe, it } from "node:test";
-import { completeResponse, type RawUpstream, type ReceivedRequest, type TestEntry, TestSetup } from "./standins.js";
+import { completeResponse, type RawUpstream, type ReceivedRequest, type TestEntry, TestSetup } from "./testservers.js";
 
 const body = "crashes upstreams";
 const testRequest = { method: "POST", body } as const;
@@ -40,7 +40,7 @@
     function list(standing: ListedRequest["standing"]): void {
         position += 1;
         const listed = [{ fingerprint: fingerprint(), size: body.length, standing, occasions: 3 }];
-        entry.view.quarantine.take({ position, whole: false, listed, removed: [] });
+        entry.view.quarantine.applyChanges({ position, whole: false, listed, removed: [] });
     }
 
     it("rejects a quarantined request with a problem document and no Retry-After, whatever its id", async () => {
--- a/packages/forwarding/src/tests/standins.ts
+++ b/packages/forwarding/src/tests/testservers.ts
@@ -8,29 +8,29 @@
 import { type Agent, type ClientRequest, type IncomingMessage, request } from "node:http";
 import { type AddressInfo, createServer, type Server, type Socket } from "node:net";
 import {
-    Admissions,
-    CallerDoor,
+    AdmissionController,
+    ClientListener,
     Forwarder,
-    headerOf,
-    type RequestCodec,
-    valuesOf,
+    type HeaderCodec,
+    headerValue,
+    headerValues,
     withoutConnectionHeaders,
 } from "../index.js";
 
 /** Maps metadata to simple header names. */
-export const testCodec: RequestCodec = {
-    requestFacts: headers => ({
-        id: headerOf(headers, "x-id"),
-        key: headerOf(headers, "x-key"),
+export const testCodec: HeaderCodec = {
+    requestMetadata: headers => ({
+        id: headerValue(headers, "x-id"),
+        apiKey: headerValue(headers, "x-key"),
         limitTokens: undefined,
-        deadlineMs: Number(headerOf(headers, "x-deadline") ?? 5000),
-        model: headerOf(headers, "x-model") ?? "",
-        adapter: headerOf(headers, "x-adapter") ?? "",
+        deadlineMs: Number(headerValue(headers, "x-deadline") ?? 5000),
+        model: headerValue(headers, "x-model") ?? "",
+        adapter: headerValue(headers, "x-adapter") ?? "",
         promptTokens: 0,
         maxOutputTokens: 0,
-        likelyOutputTokens: undefined,
-        parts: [],
-        resumeFrom: headerOf(headers, "last-event-id"),
+        expectedOutputTokens: undefined,
+        promptParts: [],
+        resumeFrom: headerValue(headers, "last-event-id"),
     }),
     forwardHeaders: (headers, facts) => [
         ...withoutConnectionHeaders(headers).flatMap((part, index, all) =>
@@ -43,16 +43,16 @@
         String(facts.deadlineMs),
         ...(facts.resumeFrom === undefined ? [] : ["Last-Event-Id", facts.resumeFrom]),
     ],
-    answerFacts: (status, headers) => ({
-        id: headerOf(headers, "x-id"),
-        sealed: headerOf(headers, "x-seal") !== undefined,
-        notRun: headerOf(headers, "x-not-run") !== undefined,
+    responseMetadata: (status, headers) => ({
+        id: headerValue(headers, "x-id"),
+        sealed: headerValue(headers, "x-seal") !== undefined,
+        notExecuted: headerValue(headers, "x-not-run") !== undefined,
         misdirected: status === 421,
         load: undefined,
-        leaving: headerOf(headers, "x-leaving") === "1",
-        restMs: status === 503 ? retryAfterMs(headerOf(headers, "retry-after")) : undefined,
-        unknown: [],
-        limitPerSecond: ratePerSecond(valuesOf(headers, "x-limit")),
+        leaving: headerValue(headers, "x-leaving") === "1",
+        restMs: status === 503 ? retryAfterMs(headerValue(headers, "retry-after")) : undefined,
+        unknownHeaders: [],
+        limitPerSecond: ratePerSecond(headerValues(headers, "x-limit")),
     }),
 };
 
@@ -157,7 +157,7 @@
     public readonly crashReports: { readonly upstream: string; readonly fingerprint: string; }[] = [];
     public readonly successReports: string[] = [];
     public readonly forwarder: Forwarder;
-    public readonly listener: CallerDoor;
+    public readonly listener: ClientListener;
     public stopping = false;
     public readonly limiter = new AccountLimiter(exactLimits, () => undefined);
     private position = 0n;
@@ -168,7 +168,7 @@
         revocation: RevocationOptions = { strict: false, withinMs: 0 },
     ) {
         this.view = new FleetView(() => this.configuration, silentLog);
-        const admissions = new Admissions(new Authenticator(this.view, revocation), this.limiter);
+        const admissions = new AdmissionController(new Authenticator(this.view, revocation), this.limiter);
         this.forwarder = new Forwarder({
             view: this.view,
             codec: testCodec,
@@ -176,15 +176,15 @@
             log: silentLog,
             metrics: new Metrics(),
             dataCentre: "d",
-            budget: { ratio: 0.2, slack, windowMs: 10_000 },
+            retryBudget: { ratio: 0.2, slack, windowMs: 10_000 },
             admissions,
-            crashes: {
+            crashReporter: {
                 lost: ({ id }, { fingerprint }) => this.crashReports.push({ upstream: id, fingerprint }),
                 succeeded: fingerprint => this.successReports.push(fingerprint),
             },
             stopping: () => this.stopping,
         });
-        this.listener = new CallerDoor({
+        this.listener = new ClientListener({
             view: this.view,
             codec: testCodec,
             forwarder: this.forwarder,
@@ -210,7 +210,7 @@
     /** Updates upstreams in the fleet view in place of the leader. */
     public setUpstreams(...upstreams: Partial<Upstream>[]): void {
         this.position += 1n;
-        this.view.take({
+        this.view.apply({
             $typeName: "winchpath.fleet.v1.PollResponse",
             notLeader: false,
             leaderUrl: "",
--- a/packages/forwarding/src/tests/signals.test.ts
+++ b/packages/forwarding/src/tests/upstreamsignals.test.ts
@@ -3,7 +3,7 @@
 import { UpstreamState } from "@winchpath/fleet";
 import { expect } from "earl";
 import { afterEach, describe, it } from "node:test";
-import { completeResponse, type RawUpstream, type ReceivedRequest, type TestEntry, TestSetup } from "./standins.js";
+import { completeResponse, type RawUpstream, type ReceivedRequest, type TestEntry, TestSetup } from "./testservers.js";
 
 describe("an entry that receives availability signals", () => {
     let setup: TestSetup;
@@ -148,7 +148,7 @@
         /** Grants permits in place of the leader. */
         function grant(upstream: string, permits: number): void {
             const grants = [{ upstream, permits, lifted: false, lifeMs: 10_000, dryMs: 0 }];
-            entry.view.availability.rates.answered([], grants, { epoch: "1", askedAt: steadyNow() });
+            entry.view.availability.rates.applyGrants([], grants, { epoch: "1", askedAt: steadyNow() });
         }
 
         it("and uses another upstream instead", async () => {
@@ -192,7 +192,7 @@
         it("and requests permits for the preferred upstream", async () => {
             await start({ objectiveMs: 100 }, limited);
             await call(2);
-            const [report] = entry.view.availability.rates.reports("1");
+            const [report] = entry.view.availability.rates.createReports("1");
             expect([report.kind, report.upstream, report.kind === "limited" && report.wanted]).toEqual([
                 "limited",
                 "u0",
--- a/packages/forwarding/src/paces.ts
+++ b/packages/forwarding/src/throughputs.ts
@@ -1,6 +1,6 @@
 /** Estimates how fast engines process prompts, from the time to the first event. */
 
-import { modelName } from "@winchpath/fleet";
+import { modelMapKey } from "@winchpath/fleet";
 
 /** Duration that is assumed before there are samples, so that no request is refused. */
 const defaultDurationMs = 0;
@@ -44,13 +44,13 @@
      * own.
      */
     public addSample(service: string, model: string, tokens: number, ms: number): void {
-        throughputIn(this.models, modelName(service, model)).addSample(tokens, ms);
+        throughputIn(this.models, modelMapKey(service, model)).addSample(tokens, ms);
         throughputIn(this.services, service).addSample(tokens, ms);
     }
 
     /** Prompt tokens per second of a model; undefined before the first sample. */
     public tokensPerSecond(service: string, model: string): number | undefined {
-        return throughputIn(this.models, modelName(service, model)).tokensPerSecond;
+        return throughputIn(this.models, modelMapKey(service, model)).tokensPerSecond;
     }
 
     /**
@@ -58,7 +58,7 @@
      * samples.
      */
     public durationMs(service: string, model: string, tokens: number): number {
-        return throughputIn(this.models, modelName(service, model)).durationMs(tokens)
+        return throughputIn(this.models, modelMapKey(service, model)).durationMs(tokens)
             ?? throughputIn(this.services, service).durationMs(tokens)
             ?? defaultDurationMs;
     }
--- a/packages/forwarding/src/links.ts
+++ b/packages/forwarding/src/upstreamendpoints.ts
@@ -2,8 +2,8 @@
 import { steadyNow } from "@winchpath/core";
 import { type Upstream } from "@winchpath/fleet";
 import { Pool } from "undici";
-import { type ReportedLoad } from "./codecs.js";
 import { ResetDetector, upstreamConnector } from "./connectors.js";
+import { type ReportedLoad } from "./headercodecs.js";
 
 /** Timeout for establishing a connection. */
 const connectTimeoutMs = 400;
@@ -28,7 +28,7 @@
     readonly finish: () => void;
 }
 
-export class UpstreamLink {
+export class UpstreamEndpoint {
     public readonly id: string;
     public readonly resetDetector = new ResetDetector();
     private running = 0;
--- a/packages/forwarding/src/pickers.ts
+++ b/packages/forwarding/src/upstreamselectors.ts
@@ -1,11 +1,11 @@
 /** Selects the upstream for a request. */
-import { type AvailabilityBook, withoutResting } from "@winchpath/availability";
+import { type AvailabilityTracker, excludeBackingOff } from "@winchpath/availability";
 import { type EngineSpec } from "@winchpath/declarations";
 import { type EjectionBook } from "@winchpath/routing";
 import { createHash } from "node:crypto";
-import { isRepeatable, type Job, ownTokensOf, tokensOf } from "./jobs.js";
-import { type UpstreamLink } from "./links.js";
-import { type ThroughputTable } from "./paces.js";
+import { type InboundRequest, isRepeatable, requiredCacheTokens, unsharedPromptTokens } from "./inboundrequests.js";
+import { type ThroughputTable } from "./throughputs.js";
+import { type UpstreamEndpoint } from "./upstreamendpoints.js";
 
 /** Cost added to upstreams in other data centres, in prompt tokens or in requests. */
 const remotePenaltyTokens = 300;
@@ -20,7 +20,7 @@
 
 /** The result of a selection. */
 export type Selection =
-    | { readonly kind: "upstream"; readonly endpoint: UpstreamLink; }
+    | { readonly kind: "upstream"; readonly endpoint: UpstreamEndpoint; }
     /** All upstreams that hold the model are at capacity. */
     | { readonly kind: "full"; }
     /**
@@ -38,7 +38,7 @@
 export class UpstreamSelector {
     public constructor(
         private readonly ejections: EjectionBook,
-        private readonly availability: AvailabilityBook,
+        private readonly availability: AvailabilityTracker,
         private readonly dataCentre: string,
         private readonly throughput: ThroughputTable,
         /** Returns a number from 0 to 1. */
@@ -46,7 +46,11 @@
     ) {}
 
     /** `engine`: specification of the service's model engines; undefined for other services. */
-    public select(request: Job, ready: readonly UpstreamLink[], engine: EngineSpec | undefined): Selection {
+    public select(
+        request: InboundRequest,
+        ready: readonly UpstreamEndpoint[],
+        engine: EngineSpec | undefined,
+    ): Selection {
         if (ready.length === 0) {
             return { kind: "none" };
         }
@@ -55,7 +59,7 @@
             return { kind: "lacking" };
         }
         // Filtered before ejections, which are ignored when too few upstreams are left; a back-off always holds.
-        const { awake: available, until } = withoutResting(this.availability, holders, ({ id }) => id);
+        const { usable: available, until } = excludeBackingOff(this.availability, holders, ({ id }) => id);
         if (available.length === 0) {
             return { kind: "resting", until };
         }
@@ -68,15 +72,15 @@
         if (this.limitedUntil(best) === undefined) {
             return { kind: "upstream", endpoint: best };
         }
-        this.availability.rates.want(best.id, request.id);
+        this.availability.rates.addWaiting(best.id, request.id);
         return this.selectUnlimited(request, open, available, engine);
     }
 
     /** Selects an upstream that needs no permit, after the best one turned out to be rate limited. */
     private selectUnlimited(
-        request: Job,
-        open: readonly UpstreamLink[],
-        available: readonly UpstreamLink[],
+        request: InboundRequest,
+        open: readonly UpstreamEndpoint[],
+        available: readonly UpstreamEndpoint[],
         engine: EngineSpec | undefined,
     ): Selection {
         const free = open.filter(endpoint => this.limitedUntil(endpoint) === undefined);
@@ -89,17 +93,21 @@
     }
 
     /** Monotonic time at which a permit may be available; undefined if none is needed. */
-    private limitedUntil(endpoint: UpstreamLink): number | undefined {
-        const state = this.availability.choosable(endpoint.id);
+    private limitedUntil(endpoint: UpstreamEndpoint): number | undefined {
+        const state = this.availability.forSelection(endpoint.id);
         return state.kind === "limited" ? state.until : undefined;
     }
 
     /** Returns the upstream with the lowest cost, preferring healthy ones; a cached prompt prefix reduces the cost. */
-    private lowestCost(request: Job, all: readonly UpstreamLink[], engine: EngineSpec | undefined): UpstreamLink {
+    private lowestCost(
+        request: InboundRequest,
+        all: readonly UpstreamEndpoint[],
+        engine: EngineSpec | undefined,
+    ): UpstreamEndpoint {
         const healthy = all.filter(({ description }) => description.failingPercent === 0);
         const open = healthy.length > 0 ? healthy : all;
         const preferred = request.route.sticky ? this.stickyEndpoint(request, open) : undefined;
-        const sharedTokens = request.facts.parts.slice(0, -1).reduce((sum, part) => sum + part.tokens, 0);
+        const sharedTokens = request.metadata.promptParts.slice(0, -1).reduce((sum, part) => sum + part.tokens, 0);
         const ranked = open.map(endpoint => ({
             endpoint,
             cost: this.costOf(request, endpoint, engine) - (endpoint === preferred ? sharedTokens : 0),
@@ -109,15 +117,16 @@
         return ranked[0].endpoint;
     }
 
-    private costOf(request: Job, endpoint: UpstreamLink, engine: EngineSpec | undefined): number {
+    private costOf(request: InboundRequest, endpoint: UpstreamEndpoint, engine: EngineSpec | undefined): number {
         const far = endpoint.description.dataCentre !== this.dataCentre;
         return engine === undefined
             ? endpoint.load + (far ? remotePenaltyRequests : 0)
-            : endpoint.queuedTokensAhead(request.priority, ownTokensOf(request)) + (far ? remotePenaltyTokens : 0);
+            : endpoint.queuedTokensAhead(request.priority, unsharedPromptTokens(request))
+                + (far ? remotePenaltyTokens : 0);
     }
 
     /** Chooses an upstream by rendezvous hashing, so that all entries agree on it. */
-    private stickyEndpoint(request: Job, open: readonly UpstreamLink[]): UpstreamLink | undefined {
+    private stickyEndpoint(request: InboundRequest, open: readonly UpstreamEndpoint[]): UpstreamEndpoint | undefined {
         const key = affinityKey(request);
         return key === undefined
             ? undefined
@@ -126,7 +135,7 @@
             );
     }
 
-    private hasCapacity(endpoint: UpstreamLink, request: Job, engine: EngineSpec | undefined): boolean {
+    private hasCapacity(endpoint: UpstreamEndpoint, request: InboundRequest, engine: EngineSpec | undefined): boolean {
         const { slots } = endpoint.description;
         if (engine === undefined) {
             return endpoint.load < slots * plainServiceSlotFactor;
@@ -134,10 +143,12 @@
         if (endpoint.load >= slots) {
             return false;
         }
-        const perRequest = endpoint.inFlight === 0 ? tokensOf(request) : endpoint.tokensInFlight / endpoint.inFlight;
-        const fits = perRequest * endpoint.load + tokensOf(request) <= engine.cacheTokens * maxCacheShare;
-        const ahead = endpoint.queuedTokensAhead(request.priority, ownTokensOf(request));
-        const waitMs = this.throughput.durationMs(request.service, request.facts.model, ahead);
+        const perRequest = endpoint.inFlight === 0
+            ? requiredCacheTokens(request)
+            : endpoint.tokensInFlight / endpoint.inFlight;
+        const fits = perRequest * endpoint.load + requiredCacheTokens(request) <= engine.cacheTokens * maxCacheShare;
+        const ahead = endpoint.queuedTokensAhead(request.priority, unsharedPromptTokens(request));
+        const waitMs = this.throughput.durationMs(request.service, request.metadata.model, ahead);
         const inTime = waitMs <= request.route.objectiveMs * maxWaitObjectiveShare;
         return endpoint.load < 1 || (fits && inTime);
     }
@@ -147,14 +158,14 @@
  * Returns the upstreams that have not declined or failed the request. If there are none, a repeatable request may go to
  * one that failed it before.
  */
-function candidates(request: Job, holders: readonly UpstreamLink[]): readonly UpstreamLink[] {
-    const willing = holders.filter(({ id }) => !request.declined.has(id));
-    const untried = willing.filter(({ id }) => !request.tried.includes(id));
+function candidates(request: InboundRequest, holders: readonly UpstreamEndpoint[]): readonly UpstreamEndpoint[] {
+    const willing = holders.filter(({ id }) => !request.declinedUpstreams.has(id));
+    const untried = willing.filter(({ id }) => !request.attemptedUpstreams.includes(id));
     return untried.length > 0 || !isRepeatable(request) ? untried : willing;
 }
 
-function isReadyFor(endpoint: UpstreamLink, request: Job): boolean {
-    const { model, adapter } = request.facts;
+function isReadyFor(endpoint: UpstreamEndpoint, request: InboundRequest): boolean {
+    const { model, adapter } = request.metadata;
     if (model === "") {
         return true;
     }
@@ -164,12 +175,12 @@
 }
 
 /** Returns a key of the shared prompt prefix; requests with the same key benefit from the same cache. */
-function affinityKey(request: Job): string | undefined {
-    const { parts, model, adapter } = request.facts;
+function affinityKey(request: InboundRequest): string | undefined {
+    const { promptParts: parts, model, adapter } = request.metadata;
     const shared = parts.at(-2) ?? parts[0];
     return shared === undefined ? undefined : `${model}/${adapter}/${shared.id}`;
 }
 
-function affinityScore(key: string, endpoint: UpstreamLink): number {
+function affinityScore(key: string, endpoint: UpstreamEndpoint): number {
     return createHash("md5").update(`${key} ${endpoint.id}`).digest().readUInt32LE(0);
 }
--- a/packages/forwarding/src/signals.ts
+++ b/packages/forwarding/src/upstreamsignals.ts
@@ -1,13 +1,13 @@
 /** Handles availability signals in response headers: shutdown, rate limits and back-off. */
-import { type AvailabilityBook, UnknownWords } from "@winchpath/availability";
+import { type AvailabilityTracker, UnsupportedNameReporter } from "@winchpath/availability";
 import { type EventLog, type Metrics } from "@winchpath/core";
 import { type DemandMeter } from "@winchpath/fleet";
-import { type AnswerFacts } from "./codecs.js";
-import { type Job } from "./jobs.js";
-import { type UpstreamLink } from "./links.js";
+import { type ResponseMetadata } from "./headercodecs.js";
+import { type InboundRequest } from "./inboundrequests.js";
+import { type UpstreamEndpoint } from "./upstreamendpoints.js";
 
 export interface SignalDependencies {
-    readonly availability: AvailabilityBook;
+    readonly availability: AvailabilityTracker;
     readonly meter: Pick<DemandMeter, "leaving">;
     readonly log: EventLog;
     readonly metrics: Metrics;
@@ -18,27 +18,32 @@
  * control group has no other source.
  */
 export class UpstreamSignals {
-    private readonly unknownHeaders: UnknownWords;
+    private readonly unknownHeaders: UnsupportedNameReporter;
 
     public constructor(private readonly deps: SignalDependencies) {
-        this.unknownHeaders = new UnknownWords(deps.log, deps.metrics);
+        this.unknownHeaders = new UnsupportedNameReporter(deps.log, deps.metrics);
     }
 
     /** `sentAt`: monotonic time at which the request was sent. */
-    public handle(request: Job, endpoint: UpstreamLink, metadata: AnswerFacts, sentAt: number): void {
+    public handle(
+        request: InboundRequest,
+        endpoint: UpstreamEndpoint,
+        metadata: ResponseMetadata,
+        sentAt: number,
+    ): void {
         if (metadata.leaving) {
             this.handleLeaving(request, endpoint);
         }
         if (metadata.sealed) {
             // Responses without a seal may come from elsewhere, with arbitrary headers.
-            this.unknownHeaders.note(request.service, endpoint.id, metadata.unknown);
+            this.unknownHeaders.report(request.service, endpoint.id, metadata.unknownHeaders);
         }
         if (metadata.limitPerSecond !== undefined) {
             this.handleRateLimit(request, endpoint, metadata.limitPerSecond, sentAt);
         }
         else if (
             metadata.sealed && metadata.id === request.id
-            && this.deps.availability.rates.answeredWithout(endpoint.id, sentAt)
+            && this.deps.availability.rates.recordUnlimitedAnswer(endpoint.id, sentAt)
         ) {
             this.deps.log.info("upstream.unlimited", { upstream: endpoint.id, request: request.id });
         }
@@ -51,8 +56,8 @@
     }
 
     /** Stops sending new requests to the upstream; running ones continue. */
-    private handleLeaving(request: Job, endpoint: UpstreamLink): void {
-        if (!this.deps.availability.leaves(endpoint.id)) {
+    private handleLeaving(request: InboundRequest, endpoint: UpstreamEndpoint): void {
+        if (!this.deps.availability.markDraining(endpoint.id)) {
             return;
         }
         this.deps.log.info("upstream.leaving", { upstream: endpoint.id, told: "answer", request: request.id });
@@ -61,8 +66,13 @@
         endpoint.renewConnections();
     }
 
-    private handleRateLimit(request: Job, endpoint: UpstreamLink, perSecond: number, sentAt: number): void {
-        const before = this.deps.availability.rates.name(endpoint.id, perSecond, sentAt);
+    private handleRateLimit(
+        request: InboundRequest,
+        endpoint: UpstreamEndpoint,
+        perSecond: number,
+        sentAt: number,
+    ): void {
+        const before = this.deps.availability.rates.recordRate(endpoint.id, perSecond, sentAt);
         if (before === perSecond) {
             return;
         }
@@ -70,8 +80,8 @@
         this.deps.metrics.count("upstream_limits_total", { service: request.service });
     }
 
-    private handleBackOff(request: Job, endpoint: UpstreamLink, restMs: number): void {
-        this.deps.availability.rest(endpoint.id, restMs);
+    private handleBackOff(request: InboundRequest, endpoint: UpstreamEndpoint, restMs: number): void {
+        this.deps.availability.startBackoff(endpoint.id, restMs);
         this.deps.log.warn("upstream.rests", { upstream: endpoint.id, restMs, request: request.id });
         this.deps.metrics.count("upstream_rests_total", { service: request.service });
     }
--- a/packages/forwarding/src/patiences.ts
+++ b/packages/forwarding/src/waitpolicies.ts
@@ -2,11 +2,11 @@
 import { steadyNow } from "@winchpath/core";
 import { type Configuration } from "@winchpath/declarations";
 import { type FleetView } from "@winchpath/fleet";
-import { type Refusal } from "./admissions.js";
-import { LocalResponse } from "./answers.js";
-import { ageMs, firstEventRemainingMs, type Job, leftMs } from "./jobs.js";
-import { type EndpointTable } from "./linktables.js";
-import { type Selection } from "./pickers.js";
+import { type Refusal } from "./admissioncontrollers.js";
+import { type EndpointTable } from "./endpointtables.js";
+import { ageMs, firstEventRemainingMs, type InboundRequest, remainingMs } from "./inboundrequests.js";
+import { LocalResponse } from "./localresponses.js";
+import { type Selection } from "./upstreamselectors.js";
 
 /** Share of the objective within which requests are refused, so that a retry can still meet it. */
 const refusalObjectiveShare = 0.2;
@@ -36,7 +36,7 @@
  * Returns how long an attempt waits for response headers, in milliseconds. `expectedMs`: expected time to process the
  * prompts ahead of the request and its own.
  */
-export function headTimeoutMs(request: Job, expectedMs: number): number {
+export function headTimeoutMs(request: InboundRequest, expectedMs: number): number {
     const { objectiveMs } = request.route;
     const timeoutMs = Math.max(headTimeoutObjectives * objectiveMs, headTimeoutExpectedFactor * expectedMs);
     return Math.min(timeoutMs, Math.max(objectiveMs, firstEventRemainingMs(request) * headTimeoutWaitShare));
@@ -57,11 +57,11 @@
     ) {}
 
     /** Returns how long the request may wait, in milliseconds; it is refused if the result is not positive. */
-    public waitMs(request: Job, reason: Unavailable): number {
+    public waitMs(request: InboundRequest, reason: Unavailable): number {
         return Math.min(this.usefulWaitMs(request, reason), firstEventRemainingMs(request) - minAttemptMs);
     }
 
-    private usefulWaitMs(request: Job, reason: Unavailable): number {
+    private usefulWaitMs(request: InboundRequest, reason: Unavailable): number {
         switch (reason.kind) {
             case "lacking":
                 return this.loadWaitMs(request);
@@ -74,7 +74,7 @@
         }
     }
 
-    public refusal(request: Job, reason: Unavailable): Refusal {
+    public refusal(request: InboundRequest, reason: Unavailable): Refusal {
         switch (reason.kind) {
             case "resting":
                 return {
@@ -101,7 +101,7 @@
         return Math.max(busyRetryMs, until - steadyNow()) * (1 + retryJitter * this.random());
     }
 
-    private loadWaitMs(request: Job): number {
+    private loadWaitMs(request: InboundRequest): number {
         const { objectiveMs } = request.route;
         const remainingWaitMs = objectiveMs * loadWaitObjectiveShare - ageMs(request);
         const readyMs = this.readyInMs(request);
@@ -112,7 +112,7 @@
             return remainingWaitMs;
         }
         // A client that is refused now can return in time for the loaded model.
-        const retryDelayMs = leftMs(request) * retryDelayShare;
+        const retryDelayMs = remainingMs(request) * retryDelayShare;
         if (earlyWaitMs(request) > 0 && readyMs <= retryDelayMs + objectiveMs * loadWaitObjectiveShare) {
             return 0;
         }
@@ -120,7 +120,7 @@
     }
 
     /** Returns the Retry-After for a model that is being loaded, so that the retry can meet its objective. */
-    private loadRetryMs(request: Job): number {
+    private loadRetryMs(request: InboundRequest): number {
         const readyMs = this.readyInMs(request) ?? this.loadMs(request) * loadTimeFactor;
         return Math.max(busyRetryMs, readyMs - request.route.objectiveMs * refusalObjectiveShare);
     }
@@ -129,15 +129,15 @@
      * Returns the expected time until the requested model is loaded, in milliseconds; undefined if no load is in
      * progress.
      */
-    private readyInMs(request: Job): number | undefined {
-        const { model, adapter } = request.facts;
+    private readyInMs(request: InboundRequest): number | undefined {
+        const { model, adapter } = request.metadata;
         // An adapter of a model that is already loaded needs no model load.
         return adapter !== "" && this.isHeld(request) ? undefined : this.view.readyInMs(request.service, model);
     }
 
     /** Returns the time to load the requested model from disk; 0 for an adapter of a loaded model. */
-    private loadMs(request: Job): number {
-        const { model, adapter } = request.facts;
+    private loadMs(request: InboundRequest): number {
+        const { model, adapter } = request.metadata;
         if (adapter !== "" && this.isHeld(request)) {
             return 0;
         }
@@ -145,16 +145,16 @@
         return service?.engine?.models.find(({ name }) => name === model)?.diskLoadMs ?? Number.POSITIVE_INFINITY;
     }
 
-    private isHeld(request: Job): boolean {
+    private isHeld(request: InboundRequest): boolean {
         return this.endpoints.ready(request.service).some(({ description }) =>
             description.models.some(({ name, leaving, readyInMs }) =>
-                name === request.facts.model && !leaving && readyInMs === 0
+                name === request.metadata.model && !leaving && readyInMs === 0
             )
         );
     }
 }
 
 /** Returns the time left to refuse a request early enough for a retry, in milliseconds. */
-function earlyWaitMs(request: Job): number {
+function earlyWaitMs(request: InboundRequest): number {
     return request.route.objectiveMs * refusalObjectiveShare - ageMs(request);
 }
--- a/packages/loadpatterns/src/callers.ts
+++ b/packages/loadpatterns/src/callers.ts
@@ -1,8 +1,8 @@
 /** Callers of a simulated fleet: they ask, come back once after a refusal, and count what they got. */
-import { uncounted } from "@winchpath/accounts";
+import { noCharge } from "@winchpath/accounts";
 import { sleep } from "@winchpath/core";
 import { type Route } from "@winchpath/declarations";
-import { type Job } from "@winchpath/forwarding";
+import { type InboundRequest } from "@winchpath/forwarding";
 import { type Draws } from "./draws.js";
 import { type CallerEnd, type SimulatedEntry } from "./entries.js";
 
@@ -100,7 +100,7 @@
         return this.entries[this.draws.index(this.entries.length)];
     }
 
-    private job(ask: Ask, deadlineAt: number): Job {
+    private job(ask: Ask, deadlineAt: number): InboundRequest {
         this.number += 1;
         const id = `q${this.number}`;
         return {
@@ -110,17 +110,17 @@
             url: "/",
             headers: [],
             body: nothing,
-            facts: {
+            metadata: {
                 id,
-                key: undefined,
+                apiKey: undefined,
                 limitTokens: undefined,
                 deadlineMs: deadlineAt - Date.now(),
                 model: ask.model,
                 adapter: ask.adapter,
                 promptTokens: ask.promptTokens,
                 maxOutputTokens: ask.outputTokens,
-                likelyOutputTokens: ask.outputTokens,
-                parts: [{ id, tokens: ask.promptTokens }],
+                expectedOutputTokens: ask.outputTokens,
+                promptParts: [{ id, tokens: ask.promptTokens }],
                 resumeFrom: undefined,
             },
             route: ask.route,
@@ -128,14 +128,14 @@
             startedAt: Date.now(),
             priority: ask.route.priority,
             grant: undefined,
-            charge: uncounted,
+            charge: noCharge,
             deadlineAt,
-            gone: new AbortController().signal,
-            tried: [],
-            declined: new Set(),
-            lost: 0,
+            abortSignal: new AbortController().signal,
+            attemptedUpstreams: [],
+            declinedUpstreams: new Set(),
+            lostConnections: 0,
             lastEventId: undefined,
-            answerStarted: false,
+            responseStarted: false,
         };
     }
 }
--- a/packages/loadpatterns/src/engines.ts
+++ b/packages/loadpatterns/src/engines.ts
@@ -10,9 +10,9 @@
 import {
     type Announcement,
     AnnouncementSchema,
+    createHeldModel,
     type EngineOrder,
     type EngineReport,
-    heldModel,
     OrderReply,
     UpstreamState,
 } from "@winchpath/fleet";
@@ -172,7 +172,7 @@
     public order(order: EngineOrder, expected: number): OrderReply {
         const adapters = this.models.get(order.model);
         if (order.adapter === "" && (adapters !== undefined) === (order.kind === "load") && !this.busy) {
-            return OrderReply.holds;
+            return OrderReply.done;
         }
         if (this.busy || expected !== this.accepted) {
             return OrderReply.conflict;
@@ -190,7 +190,7 @@
     }
 
     private heldModels() {
-        return [...this.models].map(([name, adapters]) => ({ ...heldModel(name, 0), adapters: [...adapters] }));
+        return [...this.models].map(([name, adapters]) => ({ ...createHeldModel(name, 0), adapters: [...adapters] }));
     }
 
     private orderAdapter(order: EngineOrder, adapters: Set<string> | undefined): OrderReply {
@@ -198,12 +198,12 @@
             return OrderReply.refused;
         }
         if (order.kind === "load" && adapters.has(order.adapter)) {
-            return OrderReply.holds;
+            return OrderReply.done;
         }
         this.accepted += 1;
         if (order.kind === "unload") {
             adapters.delete(order.adapter);
-            return OrderReply.holds;
+            return OrderReply.done;
         }
         setTimeout(() => adapters.add(order.adapter), adapterMs);
         return OrderReply.accepted;
--- a/packages/loadpatterns/src/entries.ts
+++ b/packages/loadpatterns/src/entries.ts
@@ -4,17 +4,17 @@
 import { type Configuration } from "@winchpath/declarations";
 import { DemandMeter, FeedFollower, FleetView } from "@winchpath/fleet";
 import {
-    Admissions,
-    type AnswerFacts,
+    AdmissionController,
+    type AttemptOptions,
     type AttemptOutcome,
-    type AttemptParts,
     Forwarder,
-    type Job,
-    leftMs,
-    ownTokensOf,
-    type RequestCodec,
-    tokensOf,
-    type UpstreamLink,
+    type HeaderCodec,
+    type InboundRequest,
+    remainingMs,
+    requiredCacheTokens,
+    type ResponseMetadata,
+    unsharedPromptTokens,
+    type UpstreamEndpoint,
 } from "@winchpath/forwarding";
 import { type PeerClients } from "@winchpath/rpc";
 import { type ServerResponse } from "node:http";
@@ -26,7 +26,7 @@
 /** The users' bound on repeats: this share of a service's requests, and so many more in a window. */
 const retryBudget = { ratio: 0.2, slack: 60, windowMs: 10_000 };
 /** Nothing is written or read as text here. */
-const noCodec = {} as RequestCodec;
+const noCodec = {} as HeaderCodec;
 
 /** How a request ended for its caller. */
 export interface CallerEnd {
@@ -54,7 +54,7 @@
         this.view = new FleetView(text => JSON.parse(text) as Configuration, silentLog);
         const { rates } = this.view.availability;
         this.meter = new DemandMeter(silentLog, this.view.availability);
-        rates.listen(() => this.meter.press(this.view.entries), () => this.view.changed.notify());
+        rates.setCallbacks(() => this.meter.reportSoon(this.view.entries), () => this.view.changed.notify());
         const options = { entry: name, dataCentre, seeds: () => [leaderUrl] };
         this.follower = new FeedFollower(this.view, clients, options, silentLog);
         this.forwarder = new Forwarder({
@@ -64,15 +64,15 @@
             log: silentLog,
             metrics: new Metrics(),
             dataCentre,
-            budget: retryBudget,
-            admissions: new Admissions(
+            retryBudget: retryBudget,
+            admissions: new AdmissionController(
                 new Authenticator(this.view, { strict: false, withinMs: 0 }),
                 new AccountLimiter({ windowMs: 0, overage: 0, slack: 0 }, () => undefined),
             ),
             // Simulated bodies are all alike: there is nothing to tell requests by.
-            crashes: { lost: () => undefined, succeeded: () => undefined },
+            crashReporter: { lost: () => undefined, succeeded: () => undefined },
             stopping: () => false,
-            send: (job, link, parts) => this.send(job, link, parts),
+            sendAttempt: (job, link, parts) => this.send(job, link, parts),
             random: () => draws.share(),
         });
     }
@@ -80,7 +80,7 @@
     public start(): void {
         const { signal } = this.ended;
         void this.follower.run(signal);
-        void this.meter.run(this.name, this.clients, () => this.follower.followed, signal);
+        void this.meter.run(this.name, this.clients, () => this.follower.currentLeader, signal);
         void this.followView();
     }
 
@@ -89,7 +89,7 @@
     }
 
     /** Serves one request to its end. */
-    public async serve(job: Job): Promise<CallerEnd> {
+    public async serve(job: InboundRequest): Promise<CallerEnd> {
         const res = new SimulatedResponse();
         await this.forwarder.serve(job, res as unknown as ServerResponse);
         return res.outcome();
@@ -102,48 +102,48 @@
         }
     }
 
-    private async send(job: Job, link: UpstreamLink, parts: AttemptParts): Promise<AttemptOutcome> {
-        const cut = AbortSignal.any([job.gone, timeoutSignal(leftMs(job))]);
+    private async send(job: InboundRequest, link: UpstreamEndpoint, parts: AttemptOptions): Promise<AttemptOutcome> {
+        const cut = AbortSignal.any([job.abortSignal, timeoutSignal(remainingMs(job))]);
         const work = {
-            model: job.facts.model,
-            adapter: job.facts.adapter,
+            model: job.metadata.model,
+            adapter: job.metadata.adapter,
             priority: job.priority,
-            promptTokens: job.facts.promptTokens,
-            outputTokens: tokensOf(job) - ownTokensOf(job),
+            promptTokens: job.metadata.promptTokens,
+            outputTokens: requiredCacheTokens(job) - unsharedPromptTokens(job),
         };
         const engine = this.engines.get(link.id)!;
         if (!parts.maySend()) {
             return { kind: "not-run", reason: "unsent", misdirected: false, unreachable: false };
         }
         const end = await engine.run(work, cut, () => {
-            parts.onHead(headOf(job, engine, true));
-            parts.onAnswer();
-            job.answerStarted = true;
+            parts.onResponseHead(headOf(job, engine, true));
+            parts.onResponseStart();
+            job.responseStarted = true;
             (parts.res as unknown as SimulatedResponse).first();
         });
         if (end === "full" || end === "lacking") {
-            parts.onHead(headOf(job, engine, false));
+            parts.onResponseHead(headOf(job, engine, false));
         }
         return outcomeOf(end, job);
     }
 }
 
 /** What the head of an engine's answer says. */
-function headOf({ id }: Job, { limitPerSecond }: SimulatedEngine, sealed: boolean): AnswerFacts {
+function headOf({ id }: InboundRequest, { limitPerSecond }: SimulatedEngine, sealed: boolean): ResponseMetadata {
     return {
         id,
         sealed,
         limitPerSecond,
-        notRun: !sealed,
+        notExecuted: !sealed,
         misdirected: false,
         load: undefined,
         leaving: false,
         restMs: undefined,
-        unknown: [],
+        unknownHeaders: [],
     };
 }
 
-function outcomeOf(end: EngineEnd, job: Job): AttemptOutcome {
+function outcomeOf(end: EngineEnd, job: InboundRequest): AttemptOutcome {
     switch (end) {
         case "done":
             return { kind: "answered", status: 200 };
@@ -154,7 +154,7 @@
         case "lacking":
             return { kind: "not-run", reason: "lacking", misdirected: true, unreachable: false };
         case "dropped":
-            return job.gone.aborted ? { kind: "caller-gone" } : { kind: "late" };
+            return job.abortSignal.aborted ? { kind: "caller-gone" } : { kind: "late" };
     }
 }
 
--- a/packages/loadpatterns/src/leaders.ts
+++ b/packages/loadpatterns/src/leaders.ts
@@ -1,24 +1,24 @@
 /** The leader of a simulated fleet: the product's registry, feed, demand, health and placement. */
-import { RateLedger } from "@winchpath/availability";
+import { RateLimitCoordinator } from "@winchpath/availability";
 import { silentLog } from "@winchpath/core";
 import { type Configuration, type ConfigurationDocument } from "@winchpath/declarations";
 import {
     decodeRate,
-    DemandBook,
     type DemandRequest,
-    type EngineCalls,
-    EnginePlacement,
+    DemandTracker,
+    type EngineClient,
     Feed,
     type FeedControl,
     type Fence,
     FleetService,
-    HealthWatch,
-    type PlacementControl,
+    OutlierMonitor,
+    type PlacementContext,
+    PlacementController,
     type PollRequest,
     Registry,
     type Upstream,
 } from "@winchpath/fleet";
-import { CrashBook } from "@winchpath/quarantine";
+import { QuarantineState } from "@winchpath/quarantine";
 import { type PeerClients } from "@winchpath/rpc";
 import { type SimulatedEngine } from "./engines.js";
 
@@ -36,21 +36,24 @@
     readonly health: boolean;
 }
 
-export class SimulatedLeader implements FeedControl, PlacementControl {
+export class SimulatedLeader implements FeedControl, PlacementContext {
     public readonly epoch = "1/leader";
     public readonly quorumAgeMs = 0;
-    public readonly ledMs = 60_000;
+    public readonly leadershipAgeMs = 60_000;
     public readonly leaderUrl = leaderUrl;
     public readonly controlUrls = [leaderUrl];
     public readonly announceMs = announceMs;
     public readonly registry = new Registry(silentLog);
     public readonly document: ConfigurationDocument;
-    public readonly quarantine = new CrashBook();
+    public readonly quarantine = new QuarantineState();
     private readonly feed: Feed;
-    private readonly demand = new DemandBook(silentLog);
-    private readonly healths = new HealthWatch(this.registry);
-    private readonly rates = new RateLedger(silentLog, (id, limited) => this.registry.setLimited(id, limited));
-    private readonly placement: EnginePlacement;
+    private readonly demand = new DemandTracker(silentLog);
+    private readonly healths = new OutlierMonitor(this.registry);
+    private readonly rates = new RateLimitCoordinator(
+        silentLog,
+        (id, limited) => this.registry.setRateLimited(id, limited),
+    );
+    private readonly placement: PlacementController;
     private readonly ended = new AbortController();
 
     public constructor(
@@ -60,7 +63,7 @@
     ) {
         this.document = { version: configuration.version, text: JSON.stringify(configuration) };
         this.feed = new Feed(this.registry, this, silentLog);
-        this.placement = new EnginePlacement(this, this.registry, this.demand, this.calls(), silentLog);
+        this.placement = new PlacementController(this, this.registry, this.demand, this.calls(), silentLog);
     }
 
     public start(): void {
@@ -77,12 +80,12 @@
         return { holder: "leader", token: 1 };
     }
 
-    public gaveOrder(): void {
+    public orderSent(): void {
         // Nobody else gives orders.
     }
 
-    public awaitedAt(entry: string): ReadonlySet<string> {
-        return this.demand.awaitedAt(entry);
+    public awaitedModels(entry: string): ReadonlySet<string> {
+        return this.demand.awaitedModels(entry);
     }
 
     public async barrier(): Promise<void> {
@@ -99,7 +102,10 @@
             reportDemand: async (report: DemandRequest) => {
                 await trip();
                 this.take(report);
-                return { allowances: [], permits: this.rates.take(report.entry, report.rates.map(decodeRate)) };
+                return {
+                    allowances: [],
+                    permits: this.rates.processReports(report.entry, report.rates.map(decodeRate)),
+                };
             },
         };
         // Entries use these two calls of this one service only.
@@ -115,47 +121,47 @@
     /** Takes in what an engine tells of itself. */
     public announce(engine: SimulatedEngine, service: string): void {
         this.registry.announce(engine.announcement(service));
-        this.feed.wake();
+        this.feed.wakePolls();
     }
 
     private take(report: DemandRequest): void {
         this.demand.take(report);
-        report.mismatches.forEach(mismatch => this.placement.doubt(mismatch));
-        report.unreachable.forEach(id => this.registry.unreachable(id, report.entry));
+        report.mismatches.forEach(mismatch => this.placement.resyncAfterMismatch(mismatch));
+        report.unreachable.forEach(id => this.registry.reportUnreachable(id, report.entry));
         if (this.parts.health) {
-            this.healths.take(report);
+            this.healths.record(report);
         }
         this.placement.notify();
     }
 
     private review(): void {
-        this.registry.expire();
+        this.registry.removeExpired();
         if (this.parts.health) {
-            this.healths.review();
+            this.healths.evaluate();
         }
-        this.feed.wake();
+        this.feed.wakePolls();
     }
 
     private async followRegistry(): Promise<void> {
         while (!this.ended.signal.aborted) {
             await this.registry.changed.wait(reviewMs);
-            this.feed.wake();
+            this.feed.wakePolls();
             this.placement.notify();
         }
     }
 
-    private calls(): EngineCalls {
+    private calls(): EngineClient {
         const find = (upstream: Upstream) => this.engines.get(upstream.id)!;
         return {
-            order: async (upstream, order, expected) => {
+            sendOrder: async (upstream, order, expected) => {
                 await trip();
                 return find(upstream).order(order, expected);
             },
-            report: async upstream => {
+            fetchReport: async upstream => {
                 await trip();
                 return find(upstream).report();
             },
-            restMs: () => 0,
+            backoffMs: () => 0,
         };
     }
 }
--- a/packages/loadpatterns/src/limits/all.ts
+++ b/packages/loadpatterns/src/limits/all.ts
@@ -94,7 +94,7 @@
 );
 
 /** Held to grants however full the bucket is: every request needs one. */
-const always = { heldBelow: 2, freeAbove: 2 };
+const always = { enforceBelow: 2, releaseAbove: 2 };
 
 /** The ways to keep a limit, by name. */
 export const limitPolicies: Readonly<Record<string, (scenario: LimitScenario) => LimitPolicy>> = {
--- a/packages/loadpatterns/src/limits/policies.ts
+++ b/packages/loadpatterns/src/limits/policies.ts
@@ -1,5 +1,10 @@
 /** Ways to keep one limit over many entries, behind one interface, to compare them without a network. */
-import { AccountLimiter, type HoldingShares, LimitBook, type LimitTolerance } from "@winchpath/accounts";
+import {
+    AccountLimitCoordinator,
+    AccountLimiter,
+    type EnforcementThresholds,
+    type LimitTolerance,
+} from "@winchpath/accounts";
 import { silentLog, TokenBucket } from "@winchpath/core";
 import { type AccountLimit, type ClientAccount } from "@winchpath/declarations";
 
@@ -76,14 +81,14 @@
     private readonly pressed: boolean[];
     private readonly reportedAt: number[];
     private readonly timer: NodeJS.Timeout;
-    private book: LimitBook | undefined;
+    private book: AccountLimitCoordinator | undefined;
     private accounts: ClientAccount[];
 
     public constructor(
         private readonly entries: number,
         limit: AccountLimit,
         private readonly tolerance: LimitTolerance,
-        private readonly shares?: HoldingShares,
+        private readonly shares?: EnforcementThresholds,
     ) {
         this.accounts = accountsWith(limit);
         this.pressed = Array.from({ length: entries }, () => false);
@@ -92,7 +97,7 @@
             new AccountLimiter(tolerance, () => {
                 this.pressed[index] = true;
             }));
-        this.limiters.forEach(limiter => limiter.follow(this.accounts, entries));
+        this.limiters.forEach(limiter => limiter.setAccounts(this.accounts, entries));
         this.beginLeader();
         this.timer = setInterval(() => this.reportDue(), shortestPauseMs);
     }
@@ -103,8 +108,8 @@
 
     public follow(limit: AccountLimit): void {
         this.accounts = accountsWith(limit);
-        this.limiters.forEach(limiter => limiter.follow(this.accounts, this.entries));
-        this.book?.follow(this.accounts);
+        this.limiters.forEach(limiter => limiter.setAccounts(this.accounts, this.entries));
+        this.book?.setAccounts(this.accounts);
     }
 
     public loseLeader(): void {
@@ -112,8 +117,8 @@
     }
 
     public beginLeader(): void {
-        this.book = new LimitBook(this.tolerance, silentLog, this.shares);
-        this.book.follow(this.accounts);
+        this.book = new AccountLimitCoordinator(this.tolerance, silentLog, this.shares);
+        this.book.setAccounts(this.accounts);
     }
 
     public end(): void {
@@ -140,7 +145,7 @@
         }
         this.cost.messages += 1;
         this.cost.bytes += bytesPerMessage;
-        const allowances = this.book.take({ entry: `e${index}`, process: 1, counts, entries: this.entries });
-        setTimeout(() => limiter.take(counts, allowances), tripMs);
+        const allowances = this.book.processCounts({ entry: `e${index}`, process: 1, counts, entries: this.entries });
+        setTimeout(() => limiter.applyAllowances(counts, allowances), tripMs);
     }
 }
--- a/packages/loadpatterns/src/rates/policies.ts
+++ b/packages/loadpatterns/src/rates/policies.ts
@@ -1,5 +1,5 @@
 /** Ways to hold the rate that an upstream names over all entries, behind one interface, to compare them without a network. */
-import { RateLedger, RateLimits, type RateReport } from "@winchpath/availability";
+import { RateLimitCoordinator, RateLimits, type RateReport } from "@winchpath/availability";
 import { silentLog, steadyNow, TokenBucket } from "@winchpath/core";
 import { createHash } from "node:crypto";
 import { type Draws } from "../draws.js";
@@ -239,14 +239,14 @@
     public readonly cost = { messages: 0, bytes: 0 };
     private readonly entries: readonly ReportingEntry[];
     private readonly cutOff = new Set<number>();
-    private ledger: RateLedger | undefined;
+    private ledger: RateLimitCoordinator | undefined;
     private epoch = 0;
     private requests = 0;
 
     public constructor(private readonly parts: PolicyParts) {
         this.entries = Array.from({ length: parts.entries }, () => {
             const entry = { rates: new RateLimits(), reportedAt: steadyNow() - reportMs, isPressed: false };
-            entry.rates.listen(() => entry.isPressed = true, () => undefined);
+            entry.rates.setCallbacks(() => entry.isPressed = true, () => undefined);
             return entry;
         });
         this.restore();
@@ -254,10 +254,10 @@
 
     public ask(entry: number, done: (passes: boolean) => void): void {
         const { rates } = this.entries[entry];
-        const verdict = rates.take(upstream);
+        const verdict = rates.acquirePermit(upstream);
         if (verdict === "refused") {
             this.requests += 1;
-            rates.want(upstream, `q${this.requests}`);
+            rates.addWaiting(upstream, `q${this.requests}`);
         }
         done(verdict !== "refused");
     }
@@ -265,10 +265,10 @@
     public heard(entry: number, perSecond: number | undefined, sentAt: number): void {
         const { rates } = this.entries[entry];
         if (perSecond === undefined) {
-            rates.answeredWithout(upstream, sentAt);
+            rates.recordUnlimitedAnswer(upstream, sentAt);
         }
         else {
-            rates.name(upstream, perSecond, sentAt);
+            rates.recordRate(upstream, perSecond, sentAt);
         }
     }
 
@@ -278,7 +278,7 @@
         this.entries.forEach((entry, index) => {
             const sinceMs = now - entry.reportedAt;
             const isDue = sinceMs >= reportMs || (entry.isPressed && sinceMs >= pauseMs);
-            if (isDue && entry.rates.hasNews(String(this.epoch))) {
+            if (isDue && entry.rates.hasReports(String(this.epoch))) {
                 this.report(entry, index);
             }
         });
@@ -290,9 +290,9 @@
 
     public restore(): void {
         this.epoch += 1;
-        this.ledger = new RateLedger(silentLog, (id, limited) => {
+        this.ledger = new RateLimitCoordinator(silentLog, (id, limited) => {
             if (limited) {
-                this.entries.forEach(({ rates }, index) => this.tell(index, () => rates.told(id)));
+                this.entries.forEach(({ rates }, index) => this.tell(index, () => rates.recordKnownLimit(id)));
             }
         });
     }
@@ -321,7 +321,7 @@
         }
         const epoch = String(this.epoch);
         const askedAt = steadyNow();
-        const reports = entry.rates.reports(epoch);
+        const reports = entry.rates.createReports(epoch);
         entry.reportedAt = askedAt;
         entry.isPressed = false;
         this.cost.messages += 1;
@@ -330,7 +330,7 @@
     }
 
     private answer(
-        ledger: RateLedger,
+        ledger: RateLimitCoordinator,
         index: number,
         reports: readonly RateReport[],
         asked: { readonly epoch: string; readonly askedAt: number; },
@@ -338,7 +338,7 @@
         if (ledger !== this.ledger) {
             return;
         }
-        const grants = ledger.take(`e${index}`, reports);
-        this.tell(index, () => this.entries[index].rates.answered(reports, grants, asked));
+        const grants = ledger.processReports(`e${index}`, reports);
+        this.tell(index, () => this.entries[index].rates.applyGrants(reports, grants, asked));
     }
 }
--- a/packages/quarantine/src/probes.ts
+++ b/packages/quarantine/src/connectionprobes.ts
@@ -5,7 +5,7 @@
 const probeTimeoutMs = 300;
 
 /** Whether connections to an address are refused. A timeout counts as not refused, since the process may still run. */
-export function isRefused(address: string): Promise<boolean> {
+export function refusesConnections(address: string): Promise<boolean> {
     const { hostname, port } = new URL(`http://${address}`);
     return new Promise(resolve => {
         const socket = connect({ host: hostname, port: Number(port), noDelay: true });
--- a/packages/quarantine/src/suspicions.ts
+++ b/packages/quarantine/src/crashattributions.ts
@@ -11,7 +11,7 @@
  * harmless requests that ran beside the cause; a second would follow within milliseconds, before entries know of the
  * crash.
  */
-export const mostEndsOfOneRequest = 2;
+export const maxCrashesPerRequest = 2;
 /**
  * Occasions from which a suspect counts as the cause; harmless requests that are repeated during failures reach fewer.
  */
--- a/packages/quarantine/src/crashwatches.ts
+++ b/packages/quarantine/src/crashmonitors.ts
@@ -5,7 +5,7 @@
 import { type EventLog, messageOf, type Metrics, Notifier, steadyNow } from "@winchpath/core";
 import { randomBytes } from "node:crypto";
 import { type QuarantineCommand, type Suspect } from "./commands.js";
-import { type CrashBook, type QuarantineResult } from "./crashbooks.js";
+import { type QuarantineResult, type QuarantineState } from "./quarantinestates.js";
 
 /** Time in which reports of one crash are collected before it is written; later reports are written separately. */
 const aggregationMs = 100;
@@ -23,10 +23,10 @@
  * State of an upstream's incarnation according to the control plane. A new leader may not have heard of a running
  * upstream yet (`unheard`); later, an unknown upstream has left (`gone`).
  */
-export type Presence = "serving" | "leaving" | "replaced" | "unheard" | "gone";
+export type UpstreamPresence = "serving" | "leaving" | "replaced" | "unheard" | "gone";
 
 /** Report of an entry about an upstream that seems to have crashed. */
-export interface CrashSight {
+export interface ObservedCrash {
     readonly upstream: string;
     /** Whether connections to its address are refused. */
     readonly refused: boolean;
@@ -36,8 +36,8 @@
 }
 
 export interface CrashMonitorOptions {
-    readonly book: () => CrashBook;
-    readonly presence: (upstream: string) => Presence;
+    readonly book: () => QuarantineState;
+    readonly presence: (upstream: string) => UpstreamPresence;
     /** Appends a command to the replicated log; resolves once it is applied locally. */
     readonly propose: (command: QuarantineCommand) => Promise<QuarantineResult>;
     readonly log: EventLog;
@@ -54,7 +54,7 @@
     readonly suspects: Map<string, { readonly size: number; readonly sentAt: number; }>;
 }
 
-export class CrashWatch {
+export class CrashMonitor {
     private readonly pending = new Map<string, PendingCrash>();
     /** Crashes that were written, with the monotonic time: further reports of them need no confirmation. */
     private readonly recorded = new Map<string, number>();
@@ -62,9 +62,9 @@
 
     public constructor(private readonly options: CrashMonitorOptions) {}
 
-    public take(entry: string, sights: readonly CrashSight[], endedWell: readonly string[]): void {
-        sights.forEach(sight => this.addReport(entry, sight));
-        const cleared = endedWell.filter(fingerprint => this.options.book().standingOf(fingerprint) !== undefined);
+    public addReports(entry: string, reports: readonly ObservedCrash[], succeeded: readonly string[]): void {
+        reports.forEach(sight => this.addReport(entry, sight));
+        const cleared = succeeded.filter(fingerprint => this.options.book().find(fingerprint) !== undefined);
         if (cleared.length > 0) {
             this.options.log.info("request.cleared", { entry, fingerprints: cleared });
             void this.write({ kind: "cleared", fingerprints: cleared });
@@ -87,7 +87,7 @@
         }
     }
 
-    private addReport(entry: string, { upstream, refused, agoMs, suspects }: CrashSight): void {
+    private addReport(entry: string, { upstream, refused, agoMs, suspects }: ObservedCrash): void {
         const now = steadyNow();
         const presence = this.options.presence(upstream);
         let pending = this.pending.get(upstream);
@@ -123,7 +123,7 @@
                 this.recorded.delete(upstream);
             }
         }
-        if (this.options.book().isDue(Date.now())) {
+        if (this.options.book().hasExpired(Date.now())) {
             await this.write({ kind: "expire" });
         }
     }
--- a/packages/quarantine/src/lists.ts
+++ b/packages/quarantine/src/quarantinelists.ts
@@ -1,6 +1,6 @@
 /** An entry's copy of the quarantine list, as last received from the leader. */
 import { fingerprintOf, type RequestIdentity } from "./fingerprints.js";
-import { type ListedRequest, type QuarantineChanges } from "./standings.js";
+import { type ListedRequest, type QuarantineChanges } from "./quarantinechanges.js";
 
 export class QuarantineList {
     private key: Uint8Array | undefined;
@@ -15,13 +15,13 @@
     }
 
     /** Sets the fleet's fingerprint key; an empty one is ignored. */
-    public takeKey(key: Uint8Array): void {
+    public setKey(key: Uint8Array): void {
         if (key.length > 0) {
             this.key = key;
         }
     }
 
-    public take({ position, whole, listed, removed }: QuarantineChanges): void {
+    public applyChanges({ position, whole, listed, removed }: QuarantineChanges): void {
         const obsolete = whole ? [...this.listed.keys()] : removed;
         obsolete.forEach(fingerprint => this.drop(fingerprint));
         listed.forEach(request => this.put(request));
@@ -37,7 +37,7 @@
      * Listed status of a request; undefined if it isn't listed. Fingerprints are computed only if some listed request
      * has the same body size, which avoids the cost for nearly all requests.
      */
-    public standingOf(identity: RequestIdentity): ListedRequest | undefined {
+    public find(identity: RequestIdentity): ListedRequest | undefined {
         if (!this.countBySize.has(identity.body.length)) {
             return undefined;
         }
--- a/packages/quarantine/src/crashbooks.ts
+++ b/packages/quarantine/src/quarantinestates.ts
@@ -3,8 +3,8 @@
 import Type, { type Static } from "typebox";
 import Value from "typebox/value";
 import { type QuarantineCommand, QuarantineCommand as Command, type UpstreamEnded } from "./commands.js";
-import { type ListedRequest, QuarantineChangeLog, type QuarantineChanges } from "./standings.js";
-import { CrashAttribution, type CrashSuspect, StoredCrash } from "./suspicions.js";
+import { CrashAttribution, type CrashSuspect, StoredCrash } from "./crashattributions.js";
+import { type ListedRequest, QuarantineChangeLog, type QuarantineChanges } from "./quarantinechanges.js";
 
 /** How long a crash counts against the requests that were running, in milliseconds; callers retry within minutes. */
 const crashRetentionMs = 600_000;
@@ -50,7 +50,7 @@
 const unchanged: QuarantineResult = { barred: [], lifted: [] };
 
 /** A slice of the replicated state; commands that can't be decoded are ignored. */
-export class CrashBook {
+export class QuarantineState {
     public readonly slice = "quarantine";
     /** Notified when there is a change for entries. */
     public readonly changed = new Notifier();
@@ -76,17 +76,17 @@
         return this.changeLog.isEmpty;
     }
 
-    public since(position: number): QuarantineChanges {
+    public changesSince(position: number): QuarantineChanges {
         return this.changeLog.since(position);
     }
 
     /** Listed status of a request; undefined if it isn't listed. */
-    public standingOf(fingerprint: string): ListedRequest | undefined {
+    public find(fingerprint: string): ListedRequest | undefined {
         return this.changeLog.get(fingerprint);
     }
 
     /** Whether some state has expired; `now` in milliseconds since the Unix epoch. */
-    public isDue(now: number): boolean {
+    public hasExpired(now: number): boolean {
         return [...this.barred.values()].some(({ until }) => until < now)
             || [...this.probation.values()].some(({ until }) => until + probationMs < now);
     }
--- a/packages/quarantine/src/goodends.ts
+++ b/packages/quarantine/src/recentsuccesses.ts
@@ -9,11 +9,11 @@
 /** The oldest entries are evicted beyond this. */
 const maxFingerprints = 2048;
 
-export class GoodEnds {
+export class RecentSuccesses {
     /** Monotonic time of the last success, oldest first. */
     private readonly completedAt = new Map<string, number>();
 
-    public note(fingerprint: string): void {
+    public record(fingerprint: string): void {
         this.completedAt.delete(fingerprint);
         this.completedAt.set(fingerprint, steadyNow());
         const [oldest] = this.completedAt.keys();
--- a/packages/quarantine/src/tests/crashwatches.test.ts
+++ b/packages/quarantine/src/tests/crashmonitors.test.ts
@@ -1,19 +1,19 @@
 import { Metrics, silentLog } from "@winchpath/core";
 import { expect } from "earl";
 import { describe, it, type TestContext } from "node:test";
-import { CrashBook, CrashWatch, type Presence, type QuarantineCommand } from "../index.js";
+import { CrashMonitor, type QuarantineCommand, QuarantineState, type UpstreamPresence } from "../index.js";
 
 class Leader {
-    public readonly state = new CrashBook();
+    public readonly state = new QuarantineState();
     public readonly written: QuarantineCommand[] = [];
-    public presence: Presence = "serving";
+    public presence: UpstreamPresence = "serving";
     public hasMajority = true;
-    public readonly watch: CrashWatch;
+    public readonly watch: CrashMonitor;
     private readonly stopped = new AbortController();
 
     public constructor(private readonly t: TestContext) {
         t.mock.timers.enable({ apis: ["setTimeout", "Date"], now: 1_000_000 });
-        this.watch = new CrashWatch({
+        this.watch = new CrashMonitor({
             book: () => this.state,
             presence: () => this.presence,
             propose: async command => {
@@ -31,7 +31,7 @@
 
     public report(entry: string, fingerprint: string, refused: boolean, upstream = "u"): void {
         const suspects = [{ fingerprint, size: 1, sentAgoMs: 50 }];
-        this.watch.take(entry, [{ upstream, refused, agoMs: 10, suspects }], []);
+        this.watch.addReports(entry, [{ upstream, refused, agoMs: 10, suspects }], []);
     }
 
     public async advance(ms: number): Promise<void> {
@@ -139,10 +139,10 @@
             leader.report("e1", "a", true, upstream);
             await leader.advance(300);
         }
-        expect(leader.state.standingOf("a")?.standing).toEqual("suspected");
-        leader.watch.take("e2", [], ["a", "never listed"]);
+        expect(leader.state.find("a")?.standing).toEqual("suspected");
+        leader.watch.addReports("e2", [], ["a", "never listed"]);
         await leader.advance(100);
-        expect(leader.state.standingOf("a")).toEqual(undefined);
+        expect(leader.state.find("a")).toEqual(undefined);
         expect(leader.written.at(-1)).toEqual({ kind: "cleared", fingerprints: ["a"] });
         leader.stop();
     });
--- a/packages/quarantine/src/tests/fingerprints.test.ts
+++ b/packages/quarantine/src/tests/fingerprints.test.ts
@@ -1,6 +1,6 @@
 import { expect } from "earl";
 import { describe, it } from "node:test";
-import { CrashBook, fingerprintOf, type RequestIdentity } from "../index.js";
+import { fingerprintOf, QuarantineState, type RequestIdentity } from "../index.js";
 
 const key = Buffer.from("key");
 const asked: RequestIdentity = { method: "POST", host: "h", url: "/a", account: "one", body: Buffer.from("body") };
@@ -29,16 +29,16 @@
 
 describe("the fingerprint key", () => {
     it("is the first that was set, and is restored from a snapshot", () => {
-        const state = new CrashBook();
+        const state = new QuarantineState();
         state.apply({ kind: "set-key", key: "b25l" }, { time: 0 });
         state.apply({ kind: "set-key", key: "dHdv" }, { time: 0 });
-        const restored = new CrashBook();
+        const restored = new QuarantineState();
         restored.restore(JSON.parse(JSON.stringify(state.snapshot())));
         expect([state.key, restored.key].map(held => Buffer.from(held!).toString())).toEqual(["one", "one"]);
     });
 
     it("isn't changed by an invalid command", () => {
-        const state = new CrashBook();
+        const state = new QuarantineState();
         [undefined, {}, { kind: "set-key", key: 3 }, { kind: "other" }].forEach(command =>
             state.apply(command, { time: 0 })
         );
--- a/packages/quarantine/src/tests/bystanders.test.ts
+++ b/packages/quarantine/src/tests/harmlessrequests.test.ts
@@ -7,7 +7,7 @@
 import fc from "fast-check";
 import { afterEach, beforeEach, describe, it, mock } from "node:test";
 import { occasionsToBar } from "../index.js";
-import { Fleet, seededRandom, upstreamCount } from "./fleets.js";
+import { Fleet, seededRandom, upstreamCount } from "./simulatedfleets.js";
 
 const steps = 400;
 const stepMs = 100;
--- a/packages/quarantine/src/tests/crashbooks.test.ts
+++ b/packages/quarantine/src/tests/quarantinestates.test.ts
@@ -1,12 +1,12 @@
 import { expect } from "earl";
 import { describe, it } from "node:test";
-import { CrashBook, type Suspect } from "../index.js";
+import { QuarantineState, type Suspect } from "../index.js";
 
 const hourMs = 3_600_000;
 
 /** Applies crashes at given times, with requests that were sent shortly before. */
 class Fleet {
-    public readonly state = new CrashBook();
+    public readonly state = new QuarantineState();
     private crashes = 0;
 
     /** `runMs`: time from sending the requests to the crash. */
@@ -20,7 +20,7 @@
     }
 
     public standing(fingerprint: string): string | undefined {
-        return this.state.standingOf(fingerprint)?.standing;
+        return this.state.find(fingerprint)?.standing;
     }
 }
 
@@ -121,9 +121,9 @@
             const fleet = new Fleet();
             [0, 1000, 2000].forEach(at => fleet.crash(at, ["deadly"]));
             [3000, 4000].forEach(at => fleet.crash(at, ["suspect"]));
-            const restored = new CrashBook();
+            const restored = new QuarantineState();
             restored.restore(JSON.parse(JSON.stringify(fleet.state.snapshot())));
-            const standings = ["deadly", "suspect"].map(one => restored.standingOf(one)?.standing);
+            const standings = ["deadly", "suspect"].map(one => restored.find(one)?.standing);
             expect(standings).toEqual(["barred", "suspected"]);
         });
     });
@@ -143,9 +143,9 @@
         [0, 1000, 2000].forEach(at => fleet.crash(at, ["deadly"]));
         const { position } = fleet.state;
         [3000, 4000].forEach(at => fleet.crash(at, ["suspect"]));
-        expect(fleet.state.since(position).listed.map(({ fingerprint }) => fingerprint)).toEqual(["suspect"]);
+        expect(fleet.state.changesSince(position).listed.map(({ fingerprint }) => fingerprint)).toEqual(["suspect"]);
         fleet.clear("deadly");
-        expect(fleet.state.since(position).removed).toEqual(["deadly"]);
-        expect(fleet.state.since(10_000).whole).toEqual(true);
+        expect(fleet.state.changesSince(position).removed).toEqual(["deadly"]);
+        expect(fleet.state.changesSince(10_000).whole).toEqual(true);
     });
 });
--- a/packages/quarantine/src/tests/racks.test.ts
+++ b/packages/quarantine/src/tests/rackoutages.test.ts
@@ -4,7 +4,7 @@
  */
 import { expect } from "earl";
 import { afterEach, beforeEach, describe, it, mock } from "node:test";
-import { Fleet, seededRandom, upstreamCount } from "./fleets.js";
+import { Fleet, seededRandom, upstreamCount } from "./simulatedfleets.js";
 
 const stepMs = 100;
 const durationMs = 20_000;
--- a/packages/quarantine/src/tests/kinds.test.ts
+++ b/packages/quarantine/src/tests/requestkinds.test.ts
@@ -6,7 +6,7 @@
 import fc from "fast-check";
 import { afterEach, beforeEach, describe, it, mock } from "node:test";
 import { occasionsToBar } from "../index.js";
-import { Fleet, seededRandom } from "./fleets.js";
+import { Fleet, seededRandom } from "./simulatedfleets.js";
 
 const steps = 400;
 const stepMs = 100;
--- a/packages/quarantine/src/tests/fleets.ts
+++ b/packages/quarantine/src/tests/simulatedfleets.ts
@@ -1,7 +1,7 @@
 /** Simulates a fleet whose upstreams crash under certain requests or independently of requests. */
 import { mock } from "node:test";
 import { unsafeUniformIntDistribution, xoroshiro128plus } from "pure-rand";
-import { CrashBook, GoodEnds, type Suspect } from "../index.js";
+import { QuarantineState, RecentSuccesses, type Suspect } from "../index.js";
 
 export const upstreamCount = 8;
 /** Time from the start of a crashing request to the crash, in milliseconds. */
@@ -21,11 +21,11 @@
 }
 
 export class Fleet {
-    public readonly state = new CrashBook();
+    public readonly state = new QuarantineState();
     public readonly refused = new Map<string, number>();
     /** Number of crashes by crashing request. */
     public readonly crashes = new Map<string, number>();
-    private readonly successful = new GoodEnds();
+    private readonly successful = new RecentSuccesses();
     private readonly runs = new Map<number, Run[]>(Array.from({ length: upstreamCount }, (_, at) => [at, []]));
     private incarnations = 0;
     private now = 0;
@@ -47,7 +47,7 @@
     }
 
     public send(request: string): void {
-        if (this.state.standingOf(request)?.standing === "barred") {
+        if (this.state.find(request)?.standing === "barred") {
             this.refused.set(request, (this.refused.get(request) ?? 0) + 1);
             return;
         }
@@ -83,8 +83,8 @@
     }
 
     private recordSuccess(request: string): void {
-        this.successful.note(request);
-        if (this.state.standingOf(request) !== undefined) {
+        this.successful.record(request);
+        if (this.state.find(request) !== undefined) {
             this.state.apply({ kind: "cleared", fingerprints: [request] }, { time: this.now });
         }
     }
--- a/packages/requests/src/attempts.ts
+++ b/packages/requests/src/attempts.ts
@@ -120,10 +120,10 @@
             availability.answered(incarnation);
         }
         else if (end.tag === "refused" && end.refusal === Refusal.LEAVING) {
-            availability.leaves(incarnation);
+            availability.markDraining(incarnation);
         }
         else if (end.tag === "refused" && end.restMs > 0) {
-            availability.rest(incarnation, end.restMs);
+            availability.startBackoff(incarnation, end.restMs);
         }
     }
 
--- a/packages/requests/src/executions.ts
+++ b/packages/requests/src/executions.ts
@@ -1,6 +1,6 @@
 /** Runs one request over as many attempts as it takes and may have. */
 import { type Metrics, sleep, steadyNow } from "@winchpath/core";
-import { mostEndsOfOneRequest } from "@winchpath/quarantine";
+import { maxCrashesPerRequest } from "@winchpath/quarantine";
 import { type RoutedReplica } from "@winchpath/routing";
 import { type Timeline } from "@winchpath/timeline";
 import { Refusal } from "@winchpath/upstream";
@@ -151,7 +151,7 @@
         }
         const isLost = end.tag === "broken" && end.upstreamEnd !== "";
         this.upstreamEnds += isLost ? 1 : 0;
-        if (isLost && (this.upstreamEnds >= mostEndsOfOneRequest || this.parts.quarantine.isSuspected(job))) {
+        if (isLost && (this.upstreamEnds >= maxCrashesPerRequest || this.parts.quarantine.isSuspected(job))) {
             throw this.failure(ProblemCode.upstreamLost, "upstreams ended under this request before");
         }
         if (end.tag !== "refused" && !job.repeatable) {
--- a/packages/requests/src/quarantines.ts
+++ b/packages/requests/src/quarantines.ts
@@ -1,18 +1,18 @@
 /** Requests under which upstreams end, at our own interface. Each process there holds the log's state itself. */
 import { type EventLog, type Metrics, steadyNow } from "@winchpath/core";
 import {
-    type CrashBook,
-    CrashWatch,
+    CrashMonitor,
     fingerprintOf,
-    GoodEnds,
     type QuarantineCommand,
     type QuarantineResult,
+    type QuarantineState,
+    RecentSuccesses,
 } from "@winchpath/quarantine";
 import { type Job } from "./jobs.js";
 import { ProblemCode, RequestFailure } from "./problems.js";
 
 export interface RequestQuarantineParts {
-    readonly book: () => CrashBook;
+    readonly book: () => QuarantineState;
     /** Writes a command into the log; returns once it is applied here. */
     readonly propose: (command: QuarantineCommand) => Promise<QuarantineResult>;
     readonly log: EventLog;
@@ -28,12 +28,12 @@
 }
 
 export class RequestQuarantine {
-    private readonly watch: CrashWatch;
-    private readonly goodEnds = new GoodEnds();
+    private readonly watch: CrashMonitor;
+    private readonly goodEnds = new RecentSuccesses();
 
     public constructor(private readonly parts: RequestQuarantineParts) {
         // The agent has made sure of the end.
-        this.watch = new CrashWatch({ ...parts, presence: () => "replaced" });
+        this.watch = new CrashMonitor({ ...parts, presence: () => "replaced" });
     }
 
     /** Writes what ended until the signal is aborted. */
@@ -62,7 +62,7 @@
             return;
         }
         const suspect = { fingerprint, size: bodyOf(job).length, sentAgoMs: steadyNow() - sentAt };
-        this.watch.take("", [{ upstream: upstreamEnd, refused: true, agoMs: 0, suspects: [suspect] }], []);
+        this.watch.addReports("", [{ upstream: upstreamEnd, refused: true, agoMs: 0, suspects: [suspect] }], []);
     }
 
     public succeeded(job: Job): void {
@@ -70,15 +70,15 @@
         if (fingerprint === undefined) {
             return;
         }
-        this.goodEnds.note(fingerprint);
-        if (this.parts.book().standingOf(fingerprint) !== undefined) {
-            this.watch.take("", [], [fingerprint]);
+        this.goodEnds.record(fingerprint);
+        if (this.parts.book().find(fingerprint) !== undefined) {
+            this.watch.addReports("", [], [fingerprint]);
         }
     }
 
     private listed(job: Job) {
         const fingerprint = this.parts.book().isEmpty ? undefined : this.fingerprint(job);
-        return fingerprint === undefined ? undefined : this.parts.book().standingOf(fingerprint);
+        return fingerprint === undefined ? undefined : this.parts.book().find(fingerprint);
     }
 
     private fingerprint(job: Job): string | undefined {
--- a/packages/requests/src/tests/fakes.ts
+++ b/packages/requests/src/tests/fakes.ts
@@ -1,7 +1,7 @@
 /** Agents and upstreams in memory, with connections that tests cut. */
 import { create } from "@bufbuild/protobuf";
 import { Metrics, silentLog } from "@winchpath/core";
-import { CrashBook } from "@winchpath/quarantine";
+import { QuarantineState } from "@winchpath/quarantine";
 import { type RoutedReplica, Router } from "@winchpath/routing";
 import { Timeline } from "@winchpath/timeline";
 import {
@@ -171,7 +171,7 @@
 }
 
 /** A quarantine of one process, whose log is its memory. */
-export function quarantineFor(book = new CrashBook()): RequestQuarantine {
+export function quarantineFor(book = new QuarantineState()): RequestQuarantine {
     return new RequestQuarantine({
         book: () => book,
         propose: async command => book.apply(command, { time: Date.now() }),
--- a/packages/requests/src/tests/quarantines.test.ts
+++ b/packages/requests/src/tests/quarantines.test.ts
@@ -1,4 +1,4 @@
-import { CrashBook } from "@winchpath/quarantine";
+import { QuarantineState } from "@winchpath/quarantine";
 import { expect } from "earl";
 import { describe, it, type TestContext } from "node:test";
 import { Claims, type Job, RequestFailure } from "../index.js";
@@ -10,7 +10,7 @@
 /** Two entries before the same agents, that share one replicated log. */
 class TwoEntries {
     public readonly agents = new FakeAgents({ cuts: [], breaks: [], restarts: [] }, ["a", "b", "c"]);
-    private readonly book = new CrashBook();
+    private readonly book = new QuarantineState();
     private readonly ended = new AbortController();
     private readonly quarantines = [quarantineFor(this.book), quarantineFor(this.book)];
     private readonly claims = new Claims();
--- a/packages/requests/src/tests/queues.test.ts
+++ b/packages/requests/src/tests/queues.test.ts
@@ -44,7 +44,7 @@
 
     it("gives the final answer at once where all replicas rest for too long, and waits for a short rest", async t => {
         const { router, queues, admit } = setUp(t);
-        router.availability.rest("a-1", 3000);
+        router.availability.startBackoff("a-1", 3000);
         const failure = await admit({ startBy: Date.now() + 500 }).catch((err: unknown) => err as RequestFailure);
         const { outcome, retryAfterMs } = failure as RequestFailure;
         expect([outcome, retryAfterMs! >= 3000, retryAfterMs! <= 3750]).toEqual(["not-run", true, true]);
--- a/packages/routing/src/routers.ts
+++ b/packages/routing/src/routers.ts
@@ -1,5 +1,5 @@
 /** Chooses a replica for each request, and learns from what comes of it. */
-import { AvailabilityBook, withoutResting } from "@winchpath/availability";
+import { AvailabilityTracker, excludeBackingOff } from "@winchpath/availability";
 import { EjectionBook } from "./ejections.js";
 import { LoadBook } from "./loads.js";
 import { LoadAwarePicker, type PickContext, type Picker } from "./pickers.js";
@@ -25,7 +25,7 @@
     public readonly loads = new LoadBook();
     public readonly ejections = new EjectionBook();
     /** What agents have said of the upstreams beside them, by incarnation. */
-    public readonly availability = new AvailabilityBook();
+    public readonly availability = new AvailabilityTracker();
     private readonly picker: Picker;
 
     public constructor(picker?: Picker) {
@@ -38,11 +38,15 @@
         if (untried.length === 0) {
             return { tag: "none" };
         }
-        const staying = untried.filter(({ incarnation }) => !this.availability.isLeaving(incarnation));
+        const staying = untried.filter(({ incarnation }) => !this.availability.isDraining(incarnation));
         if (staying.length === 0) {
             return { tag: "none" };
         }
-        const { awake, until } = withoutResting(this.availability, staying, ({ incarnation }) => incarnation);
+        const { usable: awake, until } = excludeBackingOff(
+            this.availability,
+            staying,
+            ({ incarnation }) => incarnation,
+        );
         if (awake.length === 0) {
             return { tag: "resting", until };
         }
--- a/packages/routing/src/tests/routing.test.ts
+++ b/packages/routing/src/tests/routing.test.ts
@@ -128,11 +128,11 @@
         const router = new Router();
         const [a, b] = ["a", "b"].map(name => replica(name, { incarnation: `${name}-1` }));
         const route = (...replicas: RoutedReplica[]) => router.route(replicas, new Map(), { prefix: undefined });
-        router.availability.rest("a-1", 3000);
+        router.availability.startBackoff("a-1", 3000);
         Array.from({ length: 5 }, () => expect(route(a, b)).toEqual({ tag: "replica", replica: b }));
-        router.availability.rest("b-1", 2000);
+        router.availability.startBackoff("b-1", 2000);
         expect(route(a, b)).toEqual({ tag: "resting", until: Date.now() + 2000 });
-        router.availability.leaves("b-1");
+        router.availability.markDraining("b-1");
         expect([route(b).tag, route(a, b).tag]).toEqual(["none", "resting"]);
         expect(route(replica("a", { incarnation: "a-2" })).tag).toEqual("replica");
     });
--- a/packages/upstream/src/engines.ts
+++ b/packages/upstream/src/engines.ts
@@ -1,6 +1,6 @@
 /** How an agent speaks to the upstream beside it. */
 import { messageOf, safeParse } from "@winchpath/core";
-import { isRefused } from "@winchpath/quarantine";
+import { refusesConnections } from "@winchpath/quarantine";
 import { Agent, type Dispatcher, request } from "undici";
 import { type EngineOrder, EngineState } from "./schemas.js";
 
@@ -100,7 +100,7 @@
     }
 
     public hasEnded(): Promise<boolean> {
-        return isRefused(new URL(this.url).host);
+        return refusesConnections(new URL(this.url).host);
     }
 
     public async close(): Promise<void> {
--- a/packages/upstream/src/runners.ts
+++ b/packages/upstream/src/runners.ts
@@ -1,6 +1,6 @@
 /** Runs admitted requests at the upstream, and hands their answers to whoever reads them. */
 import { create } from "@bufbuild/protobuf";
-import { RestBook } from "@winchpath/availability";
+import { BackoffTracker } from "@winchpath/availability";
 import { messageOf, Notifier, retryAfterMs, sleep, steadyNow } from "@winchpath/core";
 import { type Timeline } from "@winchpath/timeline";
 import { NotConnectedError, type Upstream, type UpstreamAnswer } from "./engines.js";
@@ -48,7 +48,7 @@
     /** Notified when a request ends. */
     public readonly ended: Notifier = this.table.ended;
     private readonly ends: UpstreamEnds;
-    private readonly rests = new RestBook();
+    private readonly rests = new BackoffTracker();
 
     public constructor(
         private readonly upstream: Upstream,
@@ -157,14 +157,14 @@
             ? retryAfterMs(textOf(headers["retry-after"]), textOf(headers.date))
             : undefined;
         if (restMs !== undefined) {
-            this.rests.begin(beside, restMs);
+            this.rests.start(beside, restMs);
             this.timeline.record("upstream.rests", { detail: `ms=${Math.round(restMs)}` });
         }
     }
 
     /** Undefined where the upstream takes requests. */
     private refusalOfRest(): RunRefusal | undefined {
-        const until = this.rests.untilOf(beside);
+        const until = this.rests.blockedUntil(beside);
         if (until === undefined) {
             return undefined;
         }
--- a/packages/winchpathd/src/controls.ts
+++ b/packages/winchpathd/src/controls.ts
@@ -27,7 +27,7 @@
     placementService,
     RpcOrderSender,
 } from "@winchpath/placement";
-import { CrashBook, type QuarantineResult } from "@winchpath/quarantine";
+import { type QuarantineResult, QuarantineState } from "@winchpath/quarantine";
 import {
     callerServer,
     type ClaimResult,
@@ -73,7 +73,7 @@
     private readonly declarations = new Declarations();
     private readonly ledger = new Ledger();
     private readonly claims = new Claims();
-    private readonly crashes = new CrashBook();
+    private readonly crashes = new QuarantineState();
     private readonly quarantine = new RequestQuarantine({
         book: () => this.crashes,
         propose: command => this.propose<QuarantineResult>("quarantine", command, quarantineMs),
--- a/packages/winchpathd/src/platformcontrols.ts
+++ b/packages/winchpathd/src/platformcontrols.ts
@@ -1,6 +1,6 @@
 /** What a host with a disk does for control on the platform: configuration, upstreams, orders to engines. */
-import { type EntryCounts, LimitBook } from "@winchpath/accounts";
-import { type AvailabilityBook, RateLedger, type RateReport } from "@winchpath/availability";
+import { AccountLimitCoordinator, type EntryCounts } from "@winchpath/accounts";
+import { type AvailabilityTracker, RateLimitCoordinator, type RateReport } from "@winchpath/availability";
 import {
     ComposedMachine,
     ConsensusService,
@@ -28,20 +28,20 @@
 } from "@winchpath/declarations";
 import {
     type Announcement,
-    AnnouncementDesk,
-    DemandBook,
+    type AnnouncementControl,
+    AnnouncementReceiver,
+    createFleetService,
     type DemandRequest,
-    type DeskControl,
-    EnginePlacement,
+    DemandTracker,
     Feed,
     type FeedControl,
     type Fence,
     FleetService,
-    fleetService,
-    HealthWatch,
     type Incarnation,
     OrderLease,
-    type PlacementControl,
+    OutlierMonitor,
+    type PlacementContext,
+    PlacementController,
     Registry,
     UpstreamState,
 } from "@winchpath/fleet";
@@ -53,11 +53,11 @@
     readCheckedDocument,
 } from "@winchpath/platform";
 import {
-    CrashBook,
-    CrashWatch,
-    type Presence,
+    CrashMonitor,
     type QuarantineCommand,
     type QuarantineResult,
+    QuarantineState,
+    type UpstreamPresence,
 } from "@winchpath/quarantine";
 import { RpcClients, RpcServer } from "@winchpath/rpc";
 import { Timeline } from "@winchpath/timeline";
@@ -87,21 +87,21 @@
 /** All upstreams are looked at this often at most, in milliseconds; a failure that is reported is looked at at once. */
 const reviewMs = 200;
 
-export class PlatformControl implements ControlCalls, FeedControl, DeskControl, PlacementControl {
+export class PlatformControl implements ControlCalls, FeedControl, AnnouncementControl, PlacementContext {
     private readonly stopping = new AbortController();
     private readonly timeline: Timeline;
     private readonly clients: RpcClients;
     private documents = new Documents();
-    private crashes = new CrashBook();
+    private crashes = new QuarantineState();
     private readonly registry: Registry;
     private readonly feed: Feed;
-    private readonly desk: AnnouncementDesk;
+    private readonly desk: AnnouncementReceiver;
     private readonly engines: PlatformEngineCalls;
     private readonly server;
     private readonly lease: OrderLease;
-    private demand: DemandBook;
-    private limits: LimitBook;
-    private rates: RateLedger;
+    private demand: DemandTracker;
+    private limits: AccountLimitCoordinator;
+    private rates: RateLimitCoordinator;
     private readonly keeper: ReplicaKeeper;
     private keeping: Promise<void> = Promise.resolve();
     private rpc!: RpcServer;
@@ -109,9 +109,9 @@
         | {
             readonly epoch: string;
             readonly end: AbortController;
-            readonly placement: EnginePlacement;
-            readonly healths: HealthWatch;
-            readonly crashes: CrashWatch;
+            readonly placement: PlacementController;
+            readonly healths: OutlierMonitor;
+            readonly crashes: CrashMonitor;
         }
         | undefined;
     private parsed: { readonly version: number; readonly configuration: Configuration | undefined; } | undefined;
@@ -120,7 +120,7 @@
 
     public constructor(
         private readonly settings: LiveSettings,
-        availability: AvailabilityBook,
+        availability: AvailabilityTracker,
         private readonly metrics: Metrics,
         private readonly log: EventLog,
     ) {
@@ -129,15 +129,22 @@
         this.clients = new RpcClients({ key: undefined, timeline: this.timeline });
         this.registry = new Registry(log, service => this.serves(service));
         this.lease = new OrderLease(() => settings.current.orderLeaseMs, log);
-        this.demand = new DemandBook(log);
-        this.limits = new LimitBook(settings.current.limitTolerance, log);
+        this.demand = new DemandTracker(log);
+        this.limits = new AccountLimitCoordinator(settings.current.limitTolerance, log);
         this.rates = this.makeRates();
         this.feed = new Feed(this.registry, this, log);
-        this.desk = new AnnouncementDesk(this.registry, this.feed, this, this.clients, log);
+        this.desk = new AnnouncementReceiver(this.registry, this.feed, this, this.clients, log);
         this.engines = new PlatformEngineCalls(availability, {
-            leaving: id => this.registry.noteLeaving(id, host),
+            leaving: id => this.registry.markDraining(id, host),
             limited: (upstream, perSecond) => {
-                this.rates.take(host, [{ kind: "limited", upstream, perSecond, ageMs: 0, wanted: 0, held: 0 }]);
+                this.rates.processReports(host, [{
+                    kind: "limited",
+                    upstream,
+                    perSecond,
+                    ageMs: 0,
+                    wanted: 0,
+                    held: 0,
+                }]);
             },
         }, log);
         this.server = controlServer(this, control!.port, log);
@@ -148,7 +155,7 @@
         const { current: cfg } = this.settings;
         this.rpc = await RpcServer.listen(cfg.peers, router => {
             router.service(ConsensusService, consensusService(() => this.keeper.require()));
-            router.service(FleetService, fleetService(this.fleetParts()));
+            router.service(FleetService, createFleetService(this.fleetParts()));
         }, { key: undefined, timeline: this.timeline });
         this.keeping = this.keeper.run(this.stopping.signal);
         void this.followReplica();
@@ -183,7 +190,8 @@
         return new ReplicaKeeper({
             identity: { host: cfg.host, url: peerUrl(cfg.peers.host, cfg.peers.port) },
             store: () => new FileLogStore(cfg.dataFolder!),
-            machine: () => new ComposedMachine([this.documents = new Documents(), this.crashes = new CrashBook()]),
+            machine: () =>
+                new ComposedMachine([this.documents = new Documents(), this.crashes = new QuarantineState()]),
             peers: new RpcPeerConnector(this.clients),
             seeds: () => this.settings.current.seeds,
             timeline: this.timeline,
@@ -212,7 +220,7 @@
     }
 
     public announce(announcement: Announcement): Promise<void> {
-        return this.desk.take(announcement);
+        return this.desk.receive(announcement);
     }
 
     public leave(incarnation: Incarnation): Promise<void> {
@@ -229,11 +237,11 @@
         return this.leaderHost() === undefined ? undefined : this.settings.current.control!.host;
     }
 
-    public get leads(): boolean {
+    public get isLeader(): boolean {
         return this.epoch !== undefined;
     }
 
-    public get ledMs(): number {
+    public get leadershipAgeMs(): number {
         return this.replica?.leading?.ledMs ?? 0;
     }
 
@@ -255,12 +263,12 @@
         return this.documents.current;
     }
 
-    public get quarantine(): CrashBook {
+    public get quarantine(): QuarantineState {
         return this.crashes;
     }
 
-    public awaitedAt(entry: string): ReadonlySet<string> {
-        return this.demand.awaitedAt(entry);
+    public awaitedModels(entry: string): ReadonlySet<string> {
+        return this.demand.awaitedModels(entry);
     }
 
     public async barrier(): Promise<void> {
@@ -299,18 +307,21 @@
     private fleetParts() {
         return {
             feed: this.feed,
-            desk: this.desk,
-            demand: { take: (report: Parameters<DemandBook["take"]>[0]) => this.demand.take(report) },
-            leads: () => this.leads,
+            announcements: this.desk,
+            demand: { take: (report: Parameters<DemandTracker["take"]>[0]) => this.demand.take(report) },
+            isLeader: () => this.isLeader,
             lease: this.lease,
-            limits: { take: (told: EntryCounts) => this.limits.take(told) },
-            rates: { take: (from: string, reports: readonly RateReport[]) => this.rates.take(from, reports) },
-            crashes: () => this.leads ? this.leadership?.crashes : undefined,
-            demanded: (report: DemandRequest) => {
-                report.mismatches.forEach(mismatch => this.leadership?.placement.doubt(mismatch));
-                report.unreachable.forEach(id => this.registry.unreachable(id, report.entry));
-                report.leaving.forEach(id => this.registry.noteLeaving(id, report.entry));
-                this.leadership?.healths.take(report);
+            limits: { processCounts: (told: EntryCounts) => this.limits.processCounts(told) },
+            rates: {
+                processReports: (from: string, reports: readonly RateReport[]) =>
+                    this.rates.processReports(from, reports),
+            },
+            crashWatch: () => this.isLeader ? this.leadership?.crashes : undefined,
+            onDemandReport: (report: DemandRequest) => {
+                report.mismatches.forEach(mismatch => this.leadership?.placement.resyncAfterMismatch(mismatch));
+                report.unreachable.forEach(id => this.registry.reportUnreachable(id, report.entry));
+                report.leaving.forEach(id => this.registry.markDraining(id, report.entry));
+                this.leadership?.healths.record(report);
                 this.leadership?.placement.notify();
             },
         };
@@ -322,7 +333,7 @@
             this.tellLeader();
             this.followLeadership();
             this.followConfiguration();
-            this.feed.wake();
+            this.feed.wakePolls();
             this.leadership?.placement.notify();
         }
     }
@@ -331,8 +342,8 @@
         const { configuration } = this;
         if (configuration !== undefined && configuration !== this.followedConfiguration) {
             this.followedConfiguration = configuration;
-            this.limits.follow(configuration.accounts ?? []);
-            this.registry.meetStrangers();
+            this.limits.setAccounts(configuration.accounts ?? []);
+            this.registry.admitPending();
         }
     }
 
@@ -369,26 +380,26 @@
     /** What an earlier leadership knew of upstreams may be old by now. */
     private beginLeadership(epoch: string): void {
         this.registry.clear();
-        this.demand = new DemandBook(this.log);
-        this.limits = new LimitBook(this.settings.current.limitTolerance, this.log);
-        this.limits.follow(this.configuration?.accounts ?? []);
+        this.demand = new DemandTracker(this.log);
+        this.limits = new AccountLimitCoordinator(this.settings.current.limitTolerance, this.log);
+        this.limits.setAccounts(this.configuration?.accounts ?? []);
         this.rates = this.makeRates();
         const end = new AbortController();
-        const placement = new EnginePlacement(this, this.registry, this.demand, this.engines, this.log);
+        const placement = new PlacementController(this, this.registry, this.demand, this.engines, this.log);
         const crashes = this.crashWatch();
-        this.leadership = { epoch, end, placement, healths: new HealthWatch(this.registry), crashes };
+        this.leadership = { epoch, end, placement, healths: new OutlierMonitor(this.registry), crashes };
         this.log.info("leadership.begun", { epoch });
         void this.lease.acquire(Number(this.replica!.leading!.term), this.otherUrls(), this.clients, end.signal);
         void crashes.run(end.signal);
         placement.run(end.signal).catch(err => this.log.warn("placement.failed", { error: messageOf(err) }));
     }
 
-    private makeRates(): RateLedger {
-        return new RateLedger(this.log, (id, limited) => this.registry.setLimited(id, limited));
+    private makeRates(): RateLimitCoordinator {
+        return new RateLimitCoordinator(this.log, (id, limited) => this.registry.setRateLimited(id, limited));
     }
 
-    private crashWatch(): CrashWatch {
-        return new CrashWatch({
+    private crashWatch(): CrashMonitor {
+        return new CrashMonitor({
             book: () => this.crashes,
             presence: upstream => this.presenceOf(upstream),
             propose: command => this.proposeQuarantine(command),
@@ -397,7 +408,7 @@
         });
     }
 
-    private presenceOf(upstream: string): Presence {
+    private presenceOf(upstream: string): UpstreamPresence {
         const known = this.registry.get(upstream)?.upstream;
         if (known !== undefined) {
             return known.state === UpstreamState.DRAINING ? "leaving" : "serving";
@@ -405,12 +416,12 @@
         if (this.registry.wasReplaced(upstream)) {
             return "replaced";
         }
-        return this.ledMs < heardMs ? "unheard" : "gone";
+        return this.leadershipAgeMs < heardMs ? "unheard" : "gone";
     }
 
     private async proposeQuarantine(command: QuarantineCommand): Promise<QuarantineResult> {
         const { result } = await this.keeper.require().propose(encodeCommand("quarantine", command), callMs);
-        this.feed.wake();
+        this.feed.wakePolls();
         return JSON.parse(Buffer.from(result).toString()) as QuarantineResult;
     }
 
@@ -433,8 +444,8 @@
         return this.settings.current.announceMs;
     }
 
-    public gaveOrder(): void {
-        this.lease.gave();
+    public orderSent(): void {
+        this.lease.recordOrder();
     }
 
     /** Orders wait until the earlier leader's lease is over, and need a majority that was heard just now. */
@@ -444,7 +455,7 @@
             return undefined;
         }
         const token = Number(leading.term);
-        return this.lease.isOpen(token) ? { holder: this.settings.current.host, token } : undefined;
+        return this.lease.isGranted(token) ? { holder: this.settings.current.host, token } : undefined;
     }
 
     private async followRegistry(): Promise<void> {
@@ -453,10 +464,10 @@
             await this.registry.changed.wait(expireMs);
             if (steadyNow() - reviewedAt >= reviewMs) {
                 reviewedAt = steadyNow();
-                this.registry.expire();
-                this.leadership?.healths.review();
+                this.registry.removeExpired();
+                this.leadership?.healths.evaluate();
             }
-            this.feed.wake();
+            this.feed.wakePolls();
             this.leadership?.placement.notify();
         }
     }
--- a/packages/winchpathd/src/platformentries.ts
+++ b/packages/winchpathd/src/platformentries.ts
@@ -1,10 +1,10 @@
 /** An entry on the platform: takes callers' requests and forwards them. */
 import { AccountLimiter, Authenticator } from "@winchpath/accounts";
-import { type AvailabilityBook } from "@winchpath/availability";
+import { type AvailabilityTracker } from "@winchpath/availability";
 import { type EventLog, type Metrics, sleep, steadyNow } from "@winchpath/core";
 import { type Configuration } from "@winchpath/declarations";
 import { CrashReporter, DemandMeter, FeedFollower, FleetView } from "@winchpath/fleet";
-import { Admissions, CallerDoor, Forwarder } from "@winchpath/forwarding";
+import { AdmissionController, ClientListener, Forwarder } from "@winchpath/forwarding";
 import {
     peerUrl,
     PlatformRequestCodec,
@@ -12,7 +12,7 @@
     readCheckedDocument,
     readinessServer,
 } from "@winchpath/platform";
-import { isRefused } from "@winchpath/quarantine";
+import { refusesConnections } from "@winchpath/quarantine";
 import { RpcClients } from "@winchpath/rpc";
 import { Timeline } from "@winchpath/timeline";
 import { type LiveSettings } from "./platformsettings.js";
@@ -31,7 +31,7 @@
     private readonly meter: DemandMeter;
     private readonly crashes: CrashReporter;
     private readonly forwarder: Forwarder;
-    private readonly door: CallerDoor;
+    private readonly door: ClientListener;
     private readonly authenticator: Authenticator;
     private readonly limiter: AccountLimiter;
     private readonly readiness = readinessServer(() => this.isReady());
@@ -40,7 +40,7 @@
 
     public constructor(
         private readonly settings: LiveSettings,
-        availability: AvailabilityBook,
+        availability: AvailabilityTracker,
         private readonly metrics: Metrics,
         private readonly log: EventLog,
     ) {
@@ -54,15 +54,18 @@
             seeds: () => seedsOf(settings.current),
         }, log);
         this.meter = new DemandMeter(log, availability);
-        availability.rates.listen(() => this.meter.press(this.view.entries), () => this.view.changed.notify());
-        this.crashes = new CrashReporter(isRefused, log);
+        availability.rates.setCallbacks(
+            () => this.meter.reportSoon(this.view.entries),
+            () => this.view.changed.notify(),
+        );
+        this.crashes = new CrashReporter(refusesConnections, log);
         const codec = new PlatformRequestCodec();
         const stopping = () => this.leaving;
         const { revocation, limitTolerance } = settings.current;
         this.authenticator = new Authenticator(this.view, revocation);
-        this.limiter = new AccountLimiter(limitTolerance, () => this.meter.press(this.view.entries));
-        this.meter.tellOf(this.limiter);
-        const admissions = new Admissions(this.authenticator, this.limiter);
+        this.limiter = new AccountLimiter(limitTolerance, () => this.meter.reportSoon(this.view.entries));
+        this.meter.includeAccounts(this.limiter);
+        const admissions = new AdmissionController(this.authenticator, this.limiter);
         this.forwarder = new Forwarder({
             view: this.view,
             codec,
@@ -70,20 +73,27 @@
             log,
             metrics: this.metrics,
             dataCentre,
-            budget: retryBudget,
+            retryBudget: retryBudget,
             admissions,
-            crashes: this.crashes,
+            crashReporter: this.crashes,
+            stopping,
+        });
+        this.door = new ClientListener({
+            view: this.view,
+            codec,
+            forwarder: this.forwarder,
+            admissions,
+            log,
             stopping,
         });
-        this.door = new CallerDoor({ view: this.view, codec, forwarder: this.forwarder, admissions, log, stopping });
     }
 
     public async start(): Promise<void> {
         const { callers, readiness, host } = this.settings.current;
         const { signal } = this.stopping;
         void this.follower.run(signal);
-        void this.meter.run(host, this.clients, () => this.follower.followed, signal);
-        void this.crashes.run(host, this.clients, () => this.follower.followed, signal);
+        void this.meter.run(host, this.clients, () => this.follower.currentLeader, signal);
+        void this.crashes.run(host, this.clients, () => this.follower.currentLeader, signal);
         void this.followView(signal);
         await this.door.listen(callers!);
         await this.readiness.listen(readiness!);
@@ -124,7 +134,7 @@
     private async followView(signal: AbortSignal): Promise<void> {
         while (!signal.aborted) {
             await this.view.changed.wait(lookMs);
-            this.limiter.follow(this.view.configuration?.accounts, this.view.entries);
+            this.limiter.setAccounts(this.view.configuration?.accounts, this.view.entries);
             this.door.refresh();
             this.forwarder.refresh();
         }
--- a/packages/winchpathd/src/platformhosts.ts
+++ b/packages/winchpathd/src/platformhosts.ts
@@ -3,7 +3,7 @@
  * that callers reach does both in one process, since a second one would double
  * what a runtime takes of the host's memory.
  */
-import { AvailabilityBook } from "@winchpath/availability";
+import { AvailabilityTracker } from "@winchpath/availability";
 import { type EventLog, Metrics } from "@winchpath/core";
 import { metricsServer } from "@winchpath/platform";
 import { type PlatformEntry } from "./platformentries.js";
@@ -21,7 +21,7 @@
 export class PlatformHost {
     private readonly metrics = new Metrics();
     /** One for the whole process: a rest is asked of a host, whichever of its parts sends. */
-    private readonly availability = new AvailabilityBook();
+    private readonly availability = new AvailabilityTracker();
     private readonly metricsListener = metricsServer(() => this.metrics.toText());
     private entry: PlatformEntry | undefined;
     private control: ControlPart | undefined;
--- a/packages/winchpathd/src/platformrelays.ts
+++ b/packages/winchpathd/src/platformrelays.ts
@@ -1,7 +1,7 @@
 /** What a host without a disk does for control on the platform: it leads everyone on to the leader. */
 import { ConsensusRelay, ConsensusService } from "@winchpath/consensus";
 import { type EventLog, listenBacklog } from "@winchpath/core";
-import { AnnouncementGatherer, AnnouncementRelay, FleetService, incarnationId } from "@winchpath/fleet";
+import { AnnouncementBatcher, AnnouncementRelay, FleetService, incarnationId } from "@winchpath/fleet";
 import { relayServer } from "@winchpath/platform";
 import { RpcClients, RpcServer } from "@winchpath/rpc";
 import { Timeline } from "@winchpath/timeline";
@@ -20,7 +20,7 @@
     private readonly timeline: Timeline;
     private readonly clients: RpcClients;
     private readonly server;
-    private readonly gatherer: AnnouncementGatherer;
+    private readonly gatherer: AnnouncementBatcher;
     private readonly stopping = new AbortController();
     private rpc: RpcServer | undefined;
 
@@ -33,7 +33,7 @@
         this.timeline = new Timeline({ process: `relay/${host}`, host, dataCentre });
         this.clients = new RpcClients({ key: undefined, timeline: this.timeline });
         const announcements = new AnnouncementRelay(known, this.clients);
-        this.gatherer = new AnnouncementGatherer(announcements, log);
+        this.gatherer = new AnnouncementBatcher(announcements, log);
         this.server = relayServer(
             {
                 announce: announcement => this.gatherer.announce(announcement),
