--- a/packages/consensus/src/appliers.ts
+++ b/packages/consensus/src/appliers.ts
@@ -1,25 +1,25 @@
-/** Applies committed entries in order, answers the proposers, and takes snapshots. */
+/** Applies committed entries in order, completes pending proposals, and takes snapshots. */
 import { create } from "@bufbuild/protobuf";
 import { Deferred, Failure, FailureCode, Notifier, until } from "@winchpath/core";
 import { type Entry, type Snapshot, SnapshotSchema } from "./gen/winchpath/consensus/v1/consensus_pb.js";
 import { type StateMachine } from "./machines.js";
 import { type ReplicaState } from "./states.js";
 
-/** What became of a proposal. */
-export interface Applied {
+/** The log index of an applied command, and the state machine's result. */
+export interface ApplyResult {
     readonly index: bigint;
     readonly result: Uint8Array;
 }
 
-interface Waiter {
+interface PendingProposal {
     readonly term: bigint;
-    readonly done: Deferred<Applied>;
+    readonly done: Deferred<ApplyResult>;
 }
 
 export class Applier {
-    /** Notified after each run of entries that was applied. */
+    /** Notified after each batch of applied entries. */
     public readonly applied = new Notifier();
-    private readonly waiters = new Map<bigint, Waiter>();
+    private readonly pendingProposals = new Map<bigint, PendingProposal>();
     private compacting = false;
 
     public constructor(private readonly state: ReplicaState, private readonly machine: StateMachine) {
@@ -28,75 +28,87 @@
         }
     }
 
-    /** Settles when the entry of `term` at `index` is applied, or is known never to be. */
-    public waitFor(index: bigint, term: bigint): Promise<Applied> {
-        const done = new Deferred<Applied>();
-        this.waiters.get(index)?.done.reject(Failure.of(FailureCode.noLeader, "the proposal was cut from the log"));
-        this.waiters.set(index, { term, done });
+    /** Resolves once the entry of `term` at `index` is applied; rejects if it is lost or its outcome is unknown. */
+    public waitForEntry(index: bigint, term: bigint): Promise<ApplyResult> {
+        const done = new Deferred<ApplyResult>();
+        this.pendingProposals.get(index)?.done.reject(
+            Failure.of(FailureCode.noLeader, "the proposal was truncated from the log"),
+        );
+        this.pendingProposals.set(index, { term, done });
         return done.promise;
     }
 
-    /** Returns once everything up to `index` is applied here. */
-    public async caughtUp(index: bigint, timeoutMs: number): Promise<void> {
-        await until(() => this.state.appliedIndex >= index, this.applied, timeoutMs, "catching up with the log");
+    /** Waits until all entries up to `index` are applied on this replica. */
+    public async waitUntilApplied(index: bigint, timeoutMs: number): Promise<void> {
+        await until(
+            () => this.state.appliedIndex >= index,
+            this.applied,
+            timeoutMs,
+            "applying the log up to the requested index",
+        );
     }
 
-    /** Moves the commit index on, and applies what it covers. */
+    /** Advances the commit index and applies the newly committed entries. */
     public commitTo(index: bigint): void {
         if (index <= this.state.commitIndex) {
             return;
         }
         this.state.commitIndex = index;
         while (this.state.appliedIndex < index) {
-            this.applyEntry(this.state.log.at(this.state.appliedIndex + 1n)!);
+            this.applyEntry(this.state.log.entryAt(this.state.appliedIndex + 1n)!);
         }
-        this.announce();
-        this.compactIfLong();
+        this.notifyApplied();
+        this.compactIfNeeded();
     }
 
-    /** Replaces the state by the leader's snapshot. */
-    public install(snapshot: Snapshot): Promise<void> {
+    /** Replaces the state machine and the log with the leader's snapshot. */
+    public installSnapshot(snapshot: Snapshot): Promise<void> {
         this.machine.restore(snapshot.state);
         this.state.log.reset(snapshot);
         this.state.commitIndex = snapshot.index;
         this.state.appliedIndex = snapshot.index;
-        for (const [index, waiter] of this.waiters) {
+        for (const [index, pending] of this.pendingProposals) {
             if (index <= snapshot.index) {
-                this.waiters.delete(index);
-                waiter.done.reject(Failure.of(FailureCode.outcomeUnknown, "a snapshot passed over the proposal"));
+                this.pendingProposals.delete(index);
+                pending.done.reject(
+                    Failure.of(
+                        FailureCode.outcomeUnknown,
+                        "a snapshot replaced the log before the result of the proposal was known",
+                    ),
+                );
             }
         }
-        this.announce();
+        this.notifyApplied();
         return this.state.rewrite();
     }
 
-    /** Fails all that still wait, at the end of the process. */
+    /** Rejects all pending proposals on shutdown. */
     public stop(): void {
-        this.waiters.forEach(waiter => {
-            waiter.done.reject(Failure.of(FailureCode.outcomeUnknown, "the process is stopping"));
+        this.pendingProposals.forEach(pending => {
+            pending.done.reject(Failure.of(FailureCode.outcomeUnknown, "the process is stopping"));
         });
-        this.waiters.clear();
+        this.pendingProposals.clear();
     }
 
     private applyEntry(entry: Entry): void {
-        const result = this.resultOf(entry);
+        const result = this.applyCommand(entry);
         this.state.appliedIndex = entry.index;
-        const waiter = this.waiters.get(entry.index);
-        if (waiter === undefined) {
+        const pending = this.pendingProposals.get(entry.index);
+        if (pending === undefined) {
             return;
         }
-        this.waiters.delete(entry.index);
-        if (waiter.term === entry.term) {
-            waiter.done.resolve({ index: entry.index, result });
+        this.pendingProposals.delete(entry.index);
+        if (pending.term === entry.term) {
+            pending.done.resolve({ index: entry.index, result });
         }
         else {
-            waiter.done.reject(
-                Failure.of(FailureCode.noLeader, "another leader's entry took the place of the proposal"),
+            pending.done.reject(
+                Failure.of(FailureCode.noLeader, "the proposal was overwritten by an entry of another leader"),
             );
         }
     }
 
-    private resultOf(entry: Entry): Uint8Array {
+    private applyCommand(entry: Entry): Uint8Array {
         if (entry.payload.case !== "command") {
             return new Uint8Array();
         }
@@ -107,30 +119,30 @@
         });
     }
 
-    private announce(): void {
+    private notifyApplied(): void {
         this.applied.notify();
         this.state.changed.notify();
     }
 
-    private compactIfLong(): void {
+    private compactIfNeeded(): void {
         const { log, appliedIndex, options } = this.state;
-        const since = appliedIndex - (log.snapshot?.index ?? 0n);
-        if (this.compacting || since < BigInt(options.snapshotEvery)) {
+        const entriesSinceSnapshot = appliedIndex - (log.snapshot?.index ?? 0n);
+        if (this.compacting || entriesSinceSnapshot < BigInt(options.snapshotEvery)) {
             return;
         }
         const snapshot = create(SnapshotSchema, {
             index: appliedIndex,
             term: log.termAt(appliedIndex)!,
-            time: log.at(appliedIndex)!.time,
+            time: log.entryAt(appliedIndex)!.time,
             membership: this.state.appliedMembership(),
             state: this.machine.snapshot(),
         });
         log.compact(snapshot, options.trailing);
         this.compacting = true;
-        const done = () => {
+        const onRewriteSettled = () => {
             this.compacting = false;
         };
-        this.state.rewrite().then(done, done);
+        this.state.rewrite().then(onRewriteSettled, onRewriteSettled);
         this.state.timeline.record("log.compacted", { detail: `index=${appliedIndex}` });
     }
 }
--- a/packages/consensus/src/elections.ts
+++ b/packages/consensus/src/elections.ts
@@ -1,21 +1,17 @@
-/** The task that stands for election when no leader is heard. */
+/** Starts an election when no leader has been heard within the election timeout. */
 import { create } from "@bufbuild/protobuf";
 import { Notifier, steadyNow } from "@winchpath/core";
 import { type VoteRequest, VoteRequestSchema } from "./gen/winchpath/consensus/v1/consensus_pb.js";
-import { majorityOf, votersOf } from "./members.js";
+import { quorumSize, votersOf } from "./members.js";
 import { type PeerConnector } from "./peers.js";
 import { type ReplicaState } from "./states.js";
 
-/**
- * Candidates stand within this share of an election time of each other. A vote
- * takes two round trips and a sync, some milliseconds, so two seldom meet; and a
- * group that was started whole, which hears nobody, elects within it.
- */
-const spreadShare = 0.2;
+/** Random part of the election timeout, as a fraction of `electionMs`; makes split votes unlikely. */
+const electionJitterFraction = 0.2;
 
 export class Election {
     private readonly wake = new Notifier();
-    private handover = false;
+    private transferRequested = false;
 
     public constructor(
         private readonly state: ReplicaState,
@@ -23,45 +19,45 @@
         private readonly onElected: () => void,
     ) {}
 
-    /** Stands at once, as the leader that hands over has asked. */
-    public standNow(): void {
-        this.handover = true;
+    /** Starts an election without waiting for the timeout, on a leadership transfer. */
+    public campaignNow(): void {
+        this.transferRequested = true;
         this.wake.notify();
     }
 
     /** Runs until the signal is aborted. */
     public async run(signal: AbortSignal): Promise<void> {
         while (!signal.aborted) {
-            await this.wake.wait(this.timeout());
-            const due = this.handover || !this.state.hearsLeader;
-            if (signal.aborted || !due || !this.state.isVoter || this.state.role === "leader") {
+            await this.wake.wait(this.electionTimeoutMs());
+            const shouldCampaign = this.transferRequested || !this.state.hasRecentLeader;
+            if (signal.aborted || !shouldCampaign || !this.state.isVoter || this.state.role === "leader") {
                 continue;
             }
-            const handover = this.handover;
-            this.handover = false;
-            await this.stand(handover);
+            const isTransfer = this.transferRequested;
+            this.transferRequested = false;
+            await this.campaign(isTransfer);
         }
     }
 
-    /** Ends the wait of {@link run}, after its signal was aborted. */
+    /** Wakes {@link run} so that it sees its aborted signal. */
     public stop(): void {
         this.wake.notify();
     }
 
-    /** Random, so that two candidates seldom stand together. */
-    private timeout(): number {
+    /** Time left until the next election, with random jitter. */
+    private electionTimeoutMs(): number {
         const { electionMs } = this.state.options;
         const sinceHeard = steadyNow() - this.state.lastHeard;
         const base = Math.max(0, electionMs - sinceHeard);
-        return base + Math.random() * electionMs * spreadShare;
+        return base + Math.random() * electionMs * electionJitterFraction;
     }
 
-    private async stand(handover: boolean): Promise<void> {
+    private async campaign(isTransfer: boolean): Promise<void> {
         const { state } = this;
-        if (!handover && !await this.poll(state.term + 1n, true, false)) {
+        if (!isTransfer && !await this.winsVotes(state.term + 1n, true, false)) {
             return;
         }
-        if (!handover && state.hearsLeader) {
+        if (!isTransfer && state.hasRecentLeader) {
             return;
         }
         const term = state.term + 1n;
@@ -70,7 +66,7 @@
         state.leaderUrl = "";
         state.timeline.record("leader.election", { detail: `term=${term}` });
         await state.setVote(term, state.memberId);
-        const won = await this.poll(term, false, handover);
+        const won = await this.winsVotes(term, false, isTransfer);
         if (won && state.term === term && state.role === "candidate") {
             this.onElected();
         }
@@ -79,34 +75,36 @@
         }
     }
 
-    /** Whether a majority would vote, or has voted, for this replica. */
-    private async poll(term: bigint, preVote: boolean, handover: boolean): Promise<boolean> {
+    /** Whether a majority grants its vote, or would grant it (`preVote`), to this replica. */
+    private async winsVotes(term: bigint, preVote: boolean, isTransfer: boolean): Promise<boolean> {
         const { state } = this;
         const voters = votersOf(state.membership);
         const others = voters.filter(voter => voter.id !== state.memberId);
-        const needed = majorityOf(voters.length);
-        const decided = new Notifier();
+        const needed = quorumSize(voters.length);
+        const responseReceived = new Notifier();
         let granted = voters.length - others.length;
-        let answers = 0;
+        let responses = 0;
         for (const voter of others) {
-            void this.ask(voter.url, this.request(voter.id, term, preVote, handover)).then(yes => {
-                granted += yes ? 1 : 0;
-                answers += 1;
-                decided.notify();
-            });
+            void this.requestVote(voter.url, this.createVoteRequest(voter.id, term, preVote, isTransfer)).then(
+                isGranted => {
+                    granted += isGranted ? 1 : 0;
+                    responses += 1;
+                    responseReceived.notify();
+                },
+            );
         }
         const deadline = steadyNow() + state.options.electionMs;
-        while (granted < needed && answers < others.length && steadyNow() < deadline) {
-            await decided.wait(deadline - steadyNow());
+        while (granted < needed && responses < others.length && steadyNow() < deadline) {
+            await responseReceived.wait(deadline - steadyNow());
         }
         return granted >= needed;
     }
 
-    private async ask(url: string, req: VoteRequest): Promise<boolean> {
+    private async requestVote(url: string, req: VoteRequest): Promise<boolean> {
         try {
             const res = await this.peers.connect(url).vote(req, this.state.options.electionMs);
             if (res.term > this.state.term) {
-                await this.state.follow(res.term, "", "");
+                await this.state.becomeFollower(res.term, "", "");
             }
             return res.granted;
         }
@@ -115,7 +113,7 @@
         }
     }
 
-    private request(to: string, term: bigint, preVote: boolean, handover: boolean): VoteRequest {
+    private createVoteRequest(to: string, term: bigint, preVote: boolean, isTransfer: boolean): VoteRequest {
         const { state } = this;
         return create(VoteRequestSchema, {
             group: state.group,
@@ -125,7 +123,7 @@
             lastIndex: state.log.lastIndex,
             lastTerm: state.log.lastTerm,
             preVote,
-            handover,
+            handover: isTransfer,
         });
     }
 }
--- a/packages/consensus/src/files.ts
+++ b/packages/consensus/src/files.ts
@@ -1,4 +1,4 @@
-/** The log file: one file a replica, appended to with group commit, rewritten at a compaction. */
+/** A log store in a single file: appends use group commit, and compaction rewrites the file. */
 import { create } from "@bufbuild/protobuf";
 import { Deferred, Failure, FailureCode, messageOf, newIdentity } from "@winchpath/core";
 import { type FileHandle, mkdir, open, readFile, rename, rm } from "node:fs/promises";
@@ -10,19 +10,19 @@
     type LogRecord,
     type Snapshot,
 } from "./gen/winchpath/consensus/v1/consensus_pb.js";
-import { decodeRecords, encodeRecords, recordOf } from "./records.js";
+import { createRecord, decodeRecords, encodeRecords } from "./records.js";
 import { type LogStore, type StoredState } from "./stores.js";
 
-const logName = "consensus.log";
-const temporaryName = "consensus.log.tmp";
+const logFileName = "consensus.log";
+const temporaryFileName = "consensus.log.tmp";
 
-/** What the store does to its files; tests put faults here. */
+/** File operations of the store; tests replace them to inject faults. */
 export interface Disk {
     write(file: FileHandle, bytes: Buffer): Promise<void>;
     sync(file: FileHandle): Promise<void>;
 }
 
-/** The operating system's files. */
+/** Writes to the file system of the operating system. */
 export class SystemDisk implements Disk {
     public async write(file: FileHandle, bytes: Buffer): Promise<void> {
         await file.appendFile(bytes);
@@ -33,32 +33,32 @@
     }
 }
 
-interface Job {
+interface WriteJob {
     readonly bytes: Buffer;
-    /** Replace the file instead of appending to it. */
+    /** Replaces the file instead of appending to it. */
     readonly replace: boolean;
-    readonly done: Deferred<void>;
+    readonly completion: Deferred<void>;
 }
 
-/** Records that arrive while a sync is under way share the next one. */
+/** Keeps the log in a file; records appended during a sync are batched into the next one. */
 export class FileLogStore implements LogStore {
     public readonly durable = true;
     private file: FileHandle | undefined;
-    private jobs: Job[] = [];
-    private writing: Promise<void> | undefined;
+    private queue: WriteJob[] = [];
+    private writeLoop: Promise<void> | undefined;
     private failure: Failure | undefined;
 
     public constructor(private readonly folder: string, private readonly disk: Disk = new SystemDisk()) {}
 
     public async open(): Promise<StoredState> {
         await mkdir(this.folder, { recursive: true });
-        await rm(join(this.folder, temporaryName), { force: true });
-        const path = join(this.folder, logName);
+        await rm(join(this.folder, temporaryFileName), { force: true });
+        const path = join(this.folder, logFileName);
         const bytes = await readExisting(path);
-        const { records, soundBytes } = decodeRecords(bytes, path);
+        const { records, validBytes: soundBytes } = decodeRecords(bytes, path);
         const state = replay(records);
         if (state === undefined) {
-            const fresh = emptyState();
+            const fresh = createState();
             await this.replaceFile(encodeState(fresh));
             return fresh;
         }
@@ -79,9 +79,9 @@
     }
 
     public async close(): Promise<void> {
-        // First, so that nothing new is written while what was given before is.
+        // Rejects new appends first, then waits until queued ones are written.
         this.failure ??= Failure.of(FailureCode.stopping, "the log is closed");
-        await this.writing;
+        await this.writeLoop;
         await this.file?.close();
     }
 
@@ -90,34 +90,34 @@
             return Promise.reject(this.failure);
         }
         const done = new Deferred<void>();
-        this.jobs.push({ bytes, replace, done });
-        this.writing ??= this.writeAll();
+        this.queue.push({ bytes, replace, completion: done });
+        this.writeLoop ??= this.writeAll();
         return done.promise;
     }
 
     private async writeAll(): Promise<void> {
-        while (this.jobs.length > 0) {
+        while (this.queue.length > 0) {
             const batch = this.takeBatch();
             try {
                 await this.writeBatch(batch);
-                batch.forEach(job => job.done.resolve());
+                batch.forEach(job => job.completion.resolve());
             }
             catch (err) {
                 this.fail(err, batch);
             }
         }
-        // In the same step as the last look at the jobs, so that none is left behind.
-        this.writing = undefined;
+        // Synchronous with the last check of the queue, so that no job is left without a write loop.
+        this.writeLoop = undefined;
     }
 
-    /** The jobs up to the next replacement, which goes alone. */
-    private takeBatch(): Job[] {
-        const replacement = this.jobs.findIndex(job => job.replace);
-        const count = replacement === -1 ? this.jobs.length : Math.max(1, replacement);
-        return this.jobs.splice(0, count);
+    /** Takes the jobs up to the next replacement; a replacement forms a batch of its own. */
+    private takeBatch(): WriteJob[] {
+        const replacement = this.queue.findIndex(job => job.replace);
+        const count = replacement === -1 ? this.queue.length : Math.max(1, replacement);
+        return this.queue.splice(0, count);
     }
 
-    private async writeBatch(batch: readonly Job[]): Promise<void> {
+    private async writeBatch(batch: readonly WriteJob[]): Promise<void> {
         if (batch[0].replace) {
             await this.replaceFile(batch[0].bytes);
             return;
@@ -130,28 +130,28 @@
     }
 
     private async replaceFile(bytes: Buffer): Promise<void> {
-        const temporary = join(this.folder, temporaryName);
+        const temporary = join(this.folder, temporaryFileName);
         const next = await open(temporary, "w");
         await this.disk.write(next, bytes);
         await this.disk.sync(next);
         await next.close();
-        await rename(temporary, join(this.folder, logName));
+        await rename(temporary, join(this.folder, logFileName));
         const folder = await open(this.folder, "r");
         await folder.sync();
         await folder.close();
         await this.file?.close();
-        this.file = await open(join(this.folder, logName), "a");
+        this.file = await open(join(this.folder, logFileName), "a");
     }
 
-    /** After a failed write or sync nothing more is acknowledged: the pages may be lost silently. */
-    private fail(err: unknown, batch: readonly Job[]): void {
+    /** Rejects all later jobs too: after a failed sync the kernel may have dropped dirty pages. */
+    private fail(err: unknown, batch: readonly WriteJob[]): void {
         this.failure = Failure.of(FailureCode.storage, messageOf(err), [this.folder]);
         const failure = this.failure;
-        [...batch, ...this.jobs.splice(0)].forEach(job => job.done.reject(failure));
+        [...batch, ...this.queue.splice(0)].forEach(job => job.completion.reject(failure));
     }
 }
 
-/** Only a file that is not there counts as empty: one that can't be read must not be replaced. */
+/** Treats only a missing file as empty, so that an unreadable log is never overwritten. */
 async function readExisting(path: string): Promise<Buffer> {
     try {
         return await readFile(path);
@@ -164,17 +164,17 @@
     }
 }
 
-function emptyState(): StoredState {
+function createState(): StoredState {
     return { memberId: newIdentity(), hardState: create(HardStateSchema), snapshot: undefined, entries: [] };
 }
 
 function encodeState(state: StoredState): Buffer {
-    const records = [recordOf({ case: "memberId", value: state.memberId })];
+    const records = [createRecord({ case: "memberId", value: state.memberId })];
     if (state.snapshot !== undefined) {
-        records.push(recordOf({ case: "snapshot", value: state.snapshot }));
+        records.push(createRecord({ case: "snapshot", value: state.snapshot }));
     }
-    records.push(recordOf({ case: "hardState", value: state.hardState }));
-    records.push(...state.entries.map(entry => recordOf({ case: "entry", value: entry })));
+    records.push(createRecord({ case: "hardState", value: state.hardState }));
+    records.push(...state.entries.map(entry => createRecord({ case: "entry", value: entry })));
     return encodeRecords(records);
 }
 
--- a/packages/consensus/src/followers.ts
+++ b/packages/consensus/src/followers.ts
@@ -1,4 +1,4 @@
-/** The follower's side: votes, and entries from the leader. */
+/** Handles vote and append requests from other replicas. */
 import { create } from "@bufbuild/protobuf";
 import { Failure, FailureCode, steadyNow } from "@winchpath/core";
 import { type Applier } from "./appliers.js";
@@ -16,11 +16,11 @@
 export class Follower {
     public constructor(private readonly state: ReplicaState, private readonly applier: Applier) {}
 
-    /** Answers a candidate; a given vote is synced before the answer. */
+    /** Handles a vote request; a granted vote is synced before the response. */
     public async vote(req: VoteRequest): Promise<VoteResponse> {
-        this.checkAddress(req.group, req.to);
+        this.checkRecipient(req.group, req.to);
         const { state } = this;
-        if (!req.handover && state.hearsLeader) {
+        if (!req.handover && state.hasRecentLeader) {
             return this.voteResponse(false);
         }
         if (req.preVote) {
@@ -29,45 +29,45 @@
         if (req.term < state.term) {
             return this.voteResponse(false);
         }
-        const newer = req.term > state.term ? state.follow(req.term, "", "") : Promise.resolve();
-        const free = state.votedFor === "" || state.votedFor === req.candidate;
-        const granted = free && this.isUpToDate(req);
+        const termSynced = req.term > state.term ? state.becomeFollower(req.term, "", "") : Promise.resolve();
+        const canVote = state.votedFor === "" || state.votedFor === req.candidate;
+        const granted = canVote && this.isUpToDate(req);
         const term = state.term;
         if (granted) {
             state.lastHeard = steadyNow();
             await state.setVote(term, req.candidate);
         }
-        await newer;
+        await termSynced;
         return create(VoteResponseSchema, { term, granted });
     }
 
-    /** Takes in the leader's entries; they are synced before the answer. */
+    /** Appends the leader's entries or installs its snapshot; both are synced before the response. */
     public async append(req: AppendRequest): Promise<AppendResponse> {
-        this.checkAddress(req.group, req.to);
+        this.checkRecipient(req.group, req.to);
         const { state } = this;
         if (req.term < state.term) {
             return this.appendResponse(false, 0n);
         }
-        const newer = state.follow(req.term, req.leader, req.leaderUrl);
+        const termSynced = state.becomeFollower(req.term, req.leader, req.leaderUrl);
         state.lastHeard = steadyNow();
         if (req.snapshot !== undefined && req.snapshot.index > state.commitIndex) {
             const { index } = req.snapshot;
             state.timeline.record("log.snapshot-installed", { detail: `index=${index}` });
-            await this.applier.install(req.snapshot);
+            await this.applier.installSnapshot(req.snapshot);
             return this.appendResponse(true, index);
         }
-        if (!this.agreesAt(req.previousIndex, req.previousTerm)) {
-            await newer;
-            return this.appendResponse(false, this.lastPossibleMatch(req.previousIndex));
+        if (!this.matchesLog(req.previousIndex, req.previousTerm)) {
+            await termSynced;
+            return this.appendResponse(false, this.conflictHint(req.previousIndex));
         }
-        await Promise.all([newer, this.take(req.entries)]);
-        const match = req.previousIndex + BigInt(req.entries.length);
-        this.applier.commitTo(req.commitIndex < match ? req.commitIndex : match);
-        return this.appendResponse(true, match);
+        await Promise.all([termSynced, this.appendEntries(req.entries)]);
+        const matchIndex = req.previousIndex + BigInt(req.entries.length);
+        this.applier.commitTo(req.commitIndex < matchIndex ? req.commitIndex : matchIndex);
+        return this.appendResponse(true, matchIndex);
     }
 
-    /** A replica answers only to its own identity: one with a new disk is another member. */
-    private checkAddress(group: string, to: string): void {
+    /** Rejects requests for another member or group: a replica whose disk was replaced has a new identity. */
+    private checkRecipient(group: string, to: string): void {
         if (to !== this.state.memberId || (this.state.group !== "" && group !== this.state.group)) {
             throw Failure.of(FailureCode.notFound, `no member ${to} of group ${group} here`);
         }
@@ -78,37 +78,37 @@
         return req.lastTerm > lastTerm || (req.lastTerm === lastTerm && req.lastIndex >= lastIndex);
     }
 
-    private agreesAt(index: bigint, term: bigint): boolean {
-        // What is committed agrees with every later leader.
+    private matchesLog(index: bigint, term: bigint): boolean {
+        // Committed entries are in the log of every later leader.
         return index <= this.state.commitIndex || this.state.log.termAt(index) === term;
     }
 
-    /** Where the leader should go on: before the term that does not agree. */
-    private lastPossibleMatch(previousIndex: bigint): bigint {
+    /** Last index that may match the leader's log: the one before the conflicting term. */
+    private conflictHint(previousIndex: bigint): bigint {
         const { log, commitIndex } = this.state;
         if (previousIndex > log.lastIndex) {
             return log.lastIndex;
         }
-        const badTerm = log.termAt(previousIndex);
+        const conflictingTerm = log.termAt(previousIndex);
         let index = previousIndex - 1n;
-        while (index > commitIndex && log.termAt(index) === badTerm) {
+        while (index > commitIndex && log.termAt(index) === conflictingTerm) {
             index -= 1n;
         }
         return index;
     }
 
-    private take(entries: readonly Entry[]): Promise<void> {
+    private appendEntries(entries: readonly Entry[]): Promise<void> {
         const { state } = this;
-        const fresh = entries.filter(entry => entry.index > state.commitIndex);
-        const firstNew = fresh.findIndex(entry => state.log.termAt(entry.index) !== entry.term);
-        if (firstNew === -1) {
-            // An earlier copy of the request may still be waiting for its sync.
+        const uncommitted = entries.filter(entry => entry.index > state.commitIndex);
+        const firstDivergent = uncommitted.findIndex(entry => state.log.termAt(entry.index) !== entry.term);
+        if (firstDivergent === -1) {
+            // Waits for the sync of an earlier copy of the request.
             return state.append([]);
         }
-        if (fresh[firstNew].index <= state.log.lastIndex) {
-            state.truncateFrom(fresh[firstNew].index);
+        if (uncommitted[firstDivergent].index <= state.log.lastIndex) {
+            state.truncateFrom(uncommitted[firstDivergent].index);
         }
-        return state.append(fresh.slice(firstNew));
+        return state.append(uncommitted.slice(firstDivergent));
     }
 
     private voteResponse(granted: boolean): VoteResponse {
--- a/packages/consensus/src/formations.ts
+++ b/packages/consensus/src/formations.ts
@@ -1,4 +1,4 @@
-/** How a replica without a group finds one, or forms the first: docs/DESIGN.md has the rules. */
+/** Cluster formation: finds and joins the control group, or forms it on the first start. */
 import { create } from "@bufbuild/protobuf";
 import { newIdentity, sleep, steadyNow } from "@winchpath/core";
 import {
@@ -13,103 +13,105 @@
 
 const probeTimeoutMs = 500;
 const joinTimeoutMs = 5000;
-const retryMs = 100;
-/** How often a member looks whether it still belongs to the group, in milliseconds. */
-const checkMs = 1000;
-/** Without a leader for this long, a member asks to be let in again: it may have been replaced meanwhile. */
+const discoveryRetryMs = 100;
+/** Interval between checks that the replica is still a member of its group. */
+const membershipCheckMs = 1000;
+/** Time without a leader after which a member joins again, as it may have been removed from the group. */
 const rejoinAfterMs = 3000;
 
-interface Found {
+interface ProbeResult {
     readonly url: string;
-    readonly answer: ProbeResponse;
+    readonly response: ProbeResponse;
 }
 
 export class Formation {
     public constructor(
         private readonly state: ReplicaState,
         private readonly peers: PeerConnector,
-        /** URLs of hosts that hold the control state; they may change while the process runs. */
+        /** URLs of the seed hosts; they may change while the process runs. */
         private readonly seeds: () => readonly string[],
     ) {}
 
     /** Keeps the replica a member of its group until the signal is aborted. */
     public async run(signal: AbortSignal): Promise<void> {
         while (!signal.aborted) {
-            await this.establish(signal);
-            await sleep(checkMs, signal);
-            if (!signal.aborted && this.isLost()) {
+            await this.joinOrFormGroup(signal);
+            await sleep(membershipCheckMs, signal);
+            if (!signal.aborted && this.hasLostLeader()) {
                 await this.rejoin();
             }
             else {
-                this.introduce();
+                this.announceToSeeds();
             }
         }
     }
 
     /**
-     * Returns once the replica belongs to a group under its present URL.
+     * Returns once the replica is a member of a group under its current URL.
      *
-     * A first group is formed only when every seed answers and nobody knows of a
-     * group, so that a host with an empty folder can't form a second one while
-     * the others are merely out of reach.
+     * A new group is formed only if all seeds respond and none belongs to a group,
+     * so that a host with an empty data folder can't form a second group during a
+     * network partition.
      */
-    public async establish(signal: AbortSignal): Promise<void> {
-        while (!signal.aborted && !this.isEstablished()) {
-            const found = await this.probeAll();
-            const grouped = found.filter(seed => seed.answer.group !== "");
-            if (grouped.length > 0) {
-                await this.joinThrough(grouped);
+    public async joinOrFormGroup(signal: AbortSignal): Promise<void> {
+        while (!signal.aborted && !this.isMember()) {
+            const results = await this.probeAll();
+            const groupMembers = results.filter(result => result.response.group !== "");
+            if (groupMembers.length > 0) {
+                await this.joinThrough(groupMembers);
             }
             else {
-                const founders = this.founders(found);
+                const founders = this.selectFounders(results);
                 if (founders !== undefined) {
-                    await this.form(founders);
+                    await this.formGroup(founders);
                 }
             }
-            if (!this.isEstablished()) {
-                await sleep(retryMs, signal);
+            if (!this.isMember()) {
+                await sleep(discoveryRetryMs, signal);
             }
         }
     }
 
-    /** Whether no leader was heard for so long that the group may go on without this member. */
-    private isLost(): boolean {
+    /** Whether no leader was heard for so long that the group may have removed this member. */
+    private hasLostLeader(): boolean {
         const { role, lastHeard } = this.state;
         return role !== "leader" && steadyNow() - lastHeard > rejoinAfterMs;
     }
 
-    /** A member that still belongs to the group is left as it is by this. */
+    /** Joins the group again; this changes nothing if the replica is still a member. */
     private async rejoin(): Promise<void> {
-        const found = await this.probeAll();
-        await this.joinThrough(found.filter(({ answer }) => answer.group === this.state.group));
+        const results = await this.probeAll();
+        await this.joinThrough(results.filter(({ response }) => response.group === this.state.group));
     }
 
-    /** Seeds outside the group lead others to it: they are told of this member again and again. */
-    private introduce(): void {
-        const members = new Set(this.state.membership?.members.map(member => member.url));
-        void this.probe(this.seeds().filter(url => !members.has(url)));
+    /** Probes the seeds outside the group periodically, since they give this member's URL to other replicas. */
+    private announceToSeeds(): void {
+        const memberUrls = new Set(this.state.membership?.members.map(member => member.url));
+        void this.probe(this.seeds().filter(url => !memberUrls.has(url)));
     }
 
-    private isEstablished(): boolean {
+    private isMember(): boolean {
         const self = this.state.membership?.members.find(member => member.id === this.state.memberId);
         return self?.url === this.state.identity.url;
     }
 
-    /** Asks all seeds, the members that this replica remembers, and the hosts that those name. */
-    private async probeAll(): Promise<Found[]> {
-        const remembered = this.state.membership?.members.map(member => member.url) ?? [];
-        const asked = new Set([...this.seeds(), ...remembered]);
-        const found = await this.probe([...asked]);
-        const named = new Set(found.flatMap(({ answer }) => answer.knownUrls).filter(url => !asked.has(url)));
-        return [...found, ...await this.probe([...named])];
+    /** Probes all seeds, the known members, and the hosts that their responses list. */
+    private async probeAll(): Promise<ProbeResult[]> {
+        const memberUrls = this.state.membership?.members.map(member => member.url) ?? [];
+        const probedUrls = new Set([...this.seeds(), ...memberUrls]);
+        const results = await this.probe([...probedUrls]);
+        const discoveredUrls = new Set(
+            results.flatMap(({ response }) => response.knownUrls).filter(url => !probedUrls.has(url)),
+        );
+        return [...results, ...await this.probe([...discoveredUrls])];
     }
 
-    private async probe(urls: readonly string[]): Promise<Found[]> {
+    private async probe(urls: readonly string[]): Promise<ProbeResult[]> {
         const { memberId, identity, store } = this.state;
-        const asker = store.durable ? { memberId, url: identity.url } : undefined;
+        const sender = store.durable ? { memberId, url: identity.url } : undefined;
         const probes = urls.map(async url => {
             try {
-                return [{ url, answer: await this.peers.connect(url).probe(probeTimeoutMs, asker) }];
+                return [{ url, response: await this.peers.connect(url).probe(probeTimeoutMs, sender) }];
             }
             catch {
                 return [];
@@ -119,34 +121,34 @@
     }
 
     /**
-     * Who forms the first group: the seeds that have a disk, by the one with the
-     * lowest identity; where no seed has one, the replica that the first seed has named.
-     * Undefined while a seed does not answer, or where it is for another to do.
+     * Selects the initial voters besides this replica, if it is the one to form the group: the seed
+     * with the lowest member id among those with a disk or, if no seed has a disk, the replica that
+     * the first seed designates. Undefined if a seed does not respond or another replica forms the group.
      */
-    private founders(found: readonly Found[]): readonly Found[] | undefined {
+    private selectFounders(results: readonly ProbeResult[]): readonly ProbeResult[] | undefined {
         const { memberId, store, options, group } = this.state;
         const seeds = this.seeds();
-        const answered = found.filter(({ url }) => seeds.includes(url));
-        if (!options.mayForm || !store.durable || group !== "" || answered.length < seeds.length) {
+        const seedResults = results.filter(({ url }) => seeds.includes(url));
+        if (!options.mayForm || !store.durable || group !== "" || seedResults.length < seeds.length) {
             return undefined;
         }
-        const durable = answered.filter(({ answer }) => answer.hasDisk);
+        const durable = seedResults.filter(({ response }) => response.hasDisk);
         if (durable.length > 0) {
-            const ids = durable.map(({ answer }) => answer.memberId).sort();
+            const ids = durable.map(({ response }) => response.memberId).sort();
             return ids[0] === memberId ? durable : undefined;
         }
-        const first = [...seeds].sort()[0];
-        const named = answered.find(({ url }) => url === first)?.answer.founder;
-        return named === memberId ? [] : undefined;
+        const firstSeed = [...seeds].sort()[0];
+        const founderId = seedResults.find(({ url }) => url === firstSeed)?.response.founder;
+        return founderId === memberId ? [] : undefined;
     }
 
-    private async form(founders: readonly Found[]): Promise<void> {
+    private async formGroup(founders: readonly ProbeResult[]): Promise<void> {
         const { memberId, identity } = this.state;
-        const others = founders.filter(({ answer }) => answer.memberId !== memberId);
+        const others = founders.filter(({ response }) => response.memberId !== memberId);
         const members = [
             create(MemberSchema, { id: memberId, ...identity, voter: true, wantsVote: true }),
-            ...others.map(({ url, answer }) =>
-                create(MemberSchema, { id: answer.memberId, host: answer.host, url, voter: true, wantsVote: true })
+            ...others.map(({ url, response }) =>
+                create(MemberSchema, { id: response.memberId, host: response.host, url, voter: true, wantsVote: true })
             ),
         ];
         const membership = create(MembershipSchema, { group: newIdentity(), members });
@@ -161,20 +163,20 @@
         this.state.timeline.record("group.formed", { detail: `voters=${members.map(member => member.host).sort()}` });
     }
 
-    private async joinThrough(found: readonly Found[]): Promise<void> {
-        const urls = found.flatMap(seed => [seed.answer.leaderUrl, seed.url]).filter(url => url !== "");
+    private async joinThrough(results: readonly ProbeResult[]): Promise<void> {
+        const urls = results.flatMap(result => [result.response.leaderUrl, result.url]).filter(url => url !== "");
         for (const url of new Set(urls)) {
             try {
-                await this.peers.connect(url).join(this.self(), joinTimeoutMs);
+                await this.peers.connect(url).join(this.ownMember(), joinTimeoutMs);
                 return;
             }
             catch {
-                // The next one may know the leader.
+                // Another replica may know the leader.
             }
         }
     }
 
-    private self(): Member {
+    private ownMember(): Member {
         const { memberId, identity, store } = this.state;
         return create(MemberSchema, { id: memberId, ...identity, voter: false, wantsVote: store.durable });
     }
--- a/packages/consensus/src/keepers.ts
+++ b/packages/consensus/src/keepers.ts
@@ -1,85 +1,85 @@
-/** Keeps a replica open for as long as the process runs, over failures of its disk. */
+/** Supervises a replica and reopens it after storage failures. */
 import { type EventLog, Failure, FailureCode, messageOf, Notifier, sleep } from "@winchpath/core";
 import { type StateMachine } from "./machines.js";
-import { Replica, type ReplicaParts } from "./replicas.js";
+import { Replica, type ReplicaConfig } from "./replicas.js";
 import { type LogStore } from "./stores.js";
 
-/** Pause before a disk that has failed is tried again, in milliseconds: a full disk stays so for seconds. */
-const reopenMs = 500;
-/** How long a leader whose disk has failed looks for an heir, in milliseconds. */
-const abdicateMs = 300;
+/** Delay before the store is opened again after a failure, in milliseconds. */
+const reopenDelayMs = 500;
+/** Timeout of the request to a successor when a leader's store has failed, in milliseconds. */
+const resignTimeoutMs = 300;
 
-export interface KeeperParts extends Omit<ReplicaParts, "store" | "machine" | "onFatal"> {
-    /** A store on the same folder, not opened yet. */
+export interface ReplicaSupervisorConfig extends Omit<ReplicaConfig, "store" | "machine" | "onFatal"> {
+    /** Creates an unopened store for the replica's data folder. */
     readonly store: () => LogStore;
-    /** An empty machine: the log is applied from its beginning. */
+    /** Creates an empty state machine, to which the snapshot and the log are applied. */
     readonly machine: () => StateMachine;
     readonly log: EventLog;
 }
 
 /**
- * What was not synced was never acknowledged, so a replica that is read anew
- * from its disk is one that was restarted. Meanwhile it neither votes nor accepts.
+ * Runs a replica and reopens it from disk after a storage failure, which equals a restart: unsynced
+ * records were never acknowledged. There is no replica until the store can be opened again.
  */
 export class ReplicaKeeper {
-    /** Notified when a replica was opened or has failed. */
+    /** Notified when the replica was opened or has failed. */
     public readonly changed = new Notifier();
     private replica: Replica | undefined;
 
-    public constructor(private readonly parts: KeeperParts) {}
+    public constructor(private readonly config: ReplicaSupervisorConfig) {}
 
-    /** The replica of the moment; undefined while its disk can't be used. */
+    /** The running replica; undefined while its store is unavailable. */
     public get current(): Replica | undefined {
         return this.replica;
     }
 
-    /** The replica of the moment, or a `Failure` while its disk can't be used. */
+    /** Returns the running replica; throws a `Failure` while its store is unavailable. */
     public require(): Replica {
         if (this.replica === undefined) {
-            throw Failure.of(FailureCode.noLeader, "the log can't be used at the moment");
+            throw Failure.of(FailureCode.noLeader, "the replica's log store is unavailable");
         }
         return this.replica;
     }
 
-    /** Opens the replica, and opens it again after each failure, until the signal is aborted. */
+    /** Runs the replica and reopens it after each failure, until the signal is aborted. */
     public async run(signal: AbortSignal): Promise<void> {
         while (!signal.aborted) {
             try {
-                await this.keepOnce(signal);
+                await this.runReplica(signal);
             }
             catch (err) {
-                this.parts.log.warn("storage.unusable", { error: messageOf(err), retryMs: reopenMs });
+                this.config.log.warn("storage.unusable", { error: messageOf(err), retryMs: reopenDelayMs });
             }
-            await sleep(reopenMs, signal);
+            await sleep(reopenDelayMs, signal);
         }
     }
 
-    private async keepOnce(signal: AbortSignal): Promise<void> {
-        const ended = new Notifier();
+    private async runReplica(signal: AbortSignal): Promise<void> {
+        const endRequested = new Notifier();
         let failure: Error | undefined;
         const replica = await Replica.open({
-            ...this.parts,
-            store: this.parts.store(),
-            machine: this.parts.machine(),
+            ...this.config,
+            store: this.config.store(),
+            machine: this.config.machine(),
             onFatal: err => {
                 failure = err;
-                ended.notify();
+                endRequested.notify();
             },
         });
-        const stop = () => ended.notify();
+        const stop = () => endRequested.notify();
         signal.addEventListener("abort", stop, { once: true });
         this.replica = replica;
         replica.start();
         this.changed.notify();
         while (failure === undefined && !signal.aborted) {
-            await ended.wait(reopenMs);
+            await endRequested.wait(reopenDelayMs);
         }
         signal.removeEventListener("abort", stop);
         this.replica = undefined;
         this.changed.notify();
         if (failure !== undefined) {
-            this.parts.log.warn("storage.failed", { error: messageOf(failure) });
-            await replica.abdicate(abdicateMs);
+            this.config.log.warn("storage.failed", { error: messageOf(failure) });
+            await replica.resign(resignTimeoutMs);
         }
         await replica.stop();
     }
--- a/packages/consensus/src/leaderships.ts
+++ b/packages/consensus/src/leaderships.ts
@@ -1,9 +1,9 @@
-/** One term of leadership: proposals, commits, quorum reads, hand-over. */
+/** One term of leadership: proposals, commits, quorum reads and leadership transfer. */
 import { create } from "@bufbuild/protobuf";
 import { Failure, FailureCode, Notifier, steadyNow, until } from "@winchpath/core";
-import { type Applied, type Applier } from "./appliers.js";
+import { type Applier, type ApplyResult } from "./appliers.js";
 import { type Entry, EntrySchema, type Member } from "./gen/winchpath/consensus/v1/consensus_pb.js";
-import { majorityOf, memberOf, votersOf } from "./members.js";
+import { findMember, quorumSize, votersOf } from "./members.js";
 import { MembershipChanges, type MembershipLeader } from "./memberships.js";
 import { type PeerConnector } from "./peers.js";
 import { Replication, type ReplicationLeader } from "./replications.js";
@@ -11,18 +11,18 @@
 
 export class Leadership implements ReplicationLeader, MembershipLeader {
     public readonly term: bigint;
-    /** The other members, by id. */
+    /** Replication to the other members, by member id. */
     public readonly replications = new Map<string, Replication>();
     public readonly members: MembershipChanges;
-    /** Newest round of heartbeats that a read waits for. */
-    public round = 0n;
-    /** Notified at every answer of a member. */
-    private readonly answers = new Notifier();
+    /** Latest heartbeat round requested by a quorum read. */
+    public heartbeatRound = 0n;
+    /** Notified on every response from a member. */
+    private readonly responseReceived = new Notifier();
     private readonly startIndex: bigint;
     private syncedIndex = 0n;
-    private handingOver = false;
-    private lastQuorum = steadyNow();
-    private readonly leadsSince = steadyNow();
+    private transferring = false;
+    private lastQuorumAt = steadyNow();
+    private readonly leaderSince = steadyNow();
 
     public constructor(
         private readonly state: ReplicaState,
@@ -37,67 +37,72 @@
         state.timeline.record("leader.elected", { detail: `term=${this.term}` });
         this.startIndex = this.appendEntry({ case: "leaderStart", value: true });
         state.changed.notify();
-        void this.watchQuorum();
+        void this.monitorQuorum();
     }
 
-    /** Whether this replica still leads the term. */
+    /** Whether this replica is still the leader of the term. */
     public get active(): boolean {
-        return this.state.role === "leader" && this.state.term === this.term && this.state.fatal === undefined;
+        return this.state.role === "leader" && this.state.term === this.term && this.state.fatalError === undefined;
     }
 
-    /** Whether everything that earlier leaders committed is known to be applied here. */
+    /** Whether all entries committed by earlier leaders are applied on this replica. */
     public get ready(): boolean {
         return this.active && this.state.appliedIndex >= this.startIndex;
     }
 
-    /** Commits a command; settles after it was applied here. */
-    public propose(command: Uint8Array): Promise<Applied> {
-        if (!this.active || this.handingOver) {
+    /** Commits a command; resolves after it was applied on this replica. */
+    public propose(command: Uint8Array): Promise<ApplyResult> {
+        if (!this.active || this.transferring) {
             return Promise.reject(Failure.of(FailureCode.noLeader, "not the leader"));
         }
         const index = this.appendEntry({ case: "command", value: command });
-        return this.applier.waitFor(index, this.term);
+        return this.applier.waitForEntry(index, this.term);
     }
 
-    /** An index that covers everything accepted so far, confirmed by a majority. */
+    /** Commit index at the time of the call, returned once a majority has confirmed the leadership. */
     public async readIndex(timeoutMs: number): Promise<bigint> {
         const deadline = steadyNow() + timeoutMs;
-        await until(() => this.ready || !this.active, this.applier.applied, timeoutMs, "the leader's first entry");
+        await until(
+            () => this.ready || !this.active,
+            this.applier.applied,
+            timeoutMs,
+            "committing the leader's first entry",
+        );
         const index = this.state.commitIndex;
-        this.round += 1n;
-        const { round } = this;
-        this.wakeAll();
-        const confirmed = () => !this.active || this.quorumAnswered(round);
-        await until(confirmed, this.answers, Math.max(1, deadline - steadyNow()), "confirming leadership");
+        this.heartbeatRound += 1n;
+        const { heartbeatRound: round } = this;
+        this.wakeReplications();
+        const confirmed = () => !this.active || this.hasQuorumFor(round);
+        await until(confirmed, this.responseReceived, Math.max(1, deadline - steadyNow()), "confirming leadership");
         if (!this.active) {
             throw Failure.of(FailureCode.noLeader, "leadership was lost");
         }
         return index;
     }
 
-    /** Lets an up-to-date voter take over, and waits until it has. */
-    public async handOver(timeoutMs: number): Promise<void> {
+    /** Transfers leadership to an up-to-date voter, and waits until this replica no longer leads. */
+    public async transferLeadership(timeoutMs: number): Promise<void> {
         const deadline = steadyNow() + timeoutMs;
-        this.handingOver = true;
+        this.transferring = true;
         try {
-            await this.handOverBefore(deadline);
+            await this.transferLeadershipBefore(deadline);
         }
         finally {
-            this.handingOver = false;
+            this.transferring = false;
         }
     }
 
-    /** Asks the most advanced voter to stand for election, without waiting for its success. */
-    public async nameHeir(timeoutMs: number): Promise<void> {
-        const heir = this.state.term === this.term ? this.bestHeir() : undefined;
-        if (heir !== undefined) {
-            this.state.timeline.record("leader.abdicated", { detail: `to=${heir.url}` });
-            // Unheard, the others elect one after an election time.
-            await this.peers.connect(heir.url).elect(this.term, timeoutMs).catch(() => undefined);
+    /** Asks the most up-to-date voter to start an election, without waiting for the outcome. */
+    public async requestSuccessor(timeoutMs: number): Promise<void> {
+        const successor = this.state.term === this.term ? this.bestSuccessor() : undefined;
+        if (successor !== undefined) {
+            this.state.timeline.record("leader.abdicated", { detail: `to=${successor.url}` });
+            // If the request is lost, the followers elect a leader after the election timeout.
+            await this.peers.connect(successor.url).elect(this.term, timeoutMs).catch(() => undefined);
         }
     }
 
-    /** Adds an entry of this term; it is sent and synced at the same time. */
+    /** Appends an entry of this term; it is replicated and synced in parallel. */
     public appendEntry(payload: Entry["payload"]): bigint {
         const { log } = this.state;
         const now = BigInt(Date.now());
@@ -107,94 +112,94 @@
             time: now > log.lastTime ? now : log.lastTime,
             payload,
         });
-        this.state.append([entry]).then(() => this.synced(entry.index), () => undefined);
-        this.startReplications();
-        this.wakeAll();
+        this.state.append([entry]).then(() => this.onSynced(entry.index), () => undefined);
+        this.updateReplications();
+        this.wakeReplications();
         return entry.index;
     }
 
-    public answered(): void {
-        this.advanceCommit();
-        this.answers.notify();
+    public onResponse(): void {
+        this.advanceCommitIndex();
+        this.responseReceived.notify();
     }
 
     public isCaughtUp(id: string): boolean {
         const replication = this.replications.get(id);
-        return replication !== undefined && this.isFresh(id) && replication.matchIndex >= this.state.commitIndex;
+        return replication !== undefined && this.isResponsive(id) && replication.matchIndex >= this.state.commitIndex;
     }
 
-    /** Milliseconds since a member was heard, or since this replica leads where it never was. */
+    /** Milliseconds since the member's last response, or since the start of this leadership if that is later. */
     public silentMs(id: string): number {
-        const heardAt = this.replications.get(id)?.heardAt ?? Number.NEGATIVE_INFINITY;
-        return steadyNow() - Math.max(heardAt, this.leadsSince);
+        const lastResponseAt = this.replications.get(id)?.lastResponseAt ?? Number.NEGATIVE_INFINITY;
+        return steadyNow() - Math.max(lastResponseAt, this.leaderSince);
     }
 
-    /** Milliseconds for which this replica has led. */
+    /** Milliseconds since this replica became the leader. */
     public get ledMs(): number {
-        return steadyNow() - this.leadsSince;
+        return steadyNow() - this.leaderSince;
     }
 
-    /** Milliseconds since a majority was last heard; another leader may exist once it passes the election time. */
+    /** Milliseconds since the last check at which a majority was responsive. */
     public get quorumAgeMs(): number {
-        return steadyNow() - this.lastQuorum;
+        return steadyNow() - this.lastQuorumAt;
     }
 
     /**
-     * Milliseconds since the latest moment at which a majority is known to have followed this leader: no
-     * later leader can have committed anything before it. Infinite before the first answers.
+     * Milliseconds since the latest time at which a majority is known to have followed this leader; no later
+     * leader can have committed an entry before that time. Infinite before the first responses.
      */
     public get majorityAgeMs(): number {
         const now = steadyNow();
         const voters = votersOf(this.state.membership);
-        const followedAt = voters.map(({ id }) =>
-            id === this.state.memberId ? now : this.replications.get(id)?.followedAt ?? Number.NEGATIVE_INFINITY
+        const confirmedAt = voters.map(({ id }) =>
+            id === this.state.memberId ? now : this.replications.get(id)?.lastConfirmedAt ?? Number.NEGATIVE_INFINITY
         );
-        followedAt.sort((a, b) => b - a);
-        return now - (followedAt[majorityOf(voters.length) - 1] ?? Number.NEGATIVE_INFINITY);
+        confirmedAt.sort((a, b) => b - a);
+        return now - (confirmedAt[quorumSize(voters.length) - 1] ?? Number.NEGATIVE_INFINITY);
     }
 
-    private async handOverBefore(deadline: number): Promise<void> {
+    private async transferLeadershipBefore(deadline: number): Promise<void> {
         while (this.active && steadyNow() < deadline) {
-            const heir = this.bestHeir();
-            if (heir === undefined) {
+            const successor = this.bestSuccessor();
+            if (successor === undefined) {
                 return;
             }
-            if (this.replications.get(heir.id)!.matchIndex < this.state.log.lastIndex) {
-                this.wakeAll();
-                await this.answers.wait(this.state.options.heartbeatMs);
+            if (this.replications.get(successor.id)!.matchIndex < this.state.log.lastIndex) {
+                this.wakeReplications();
+                await this.responseReceived.wait(this.state.options.heartbeatMs);
                 continue;
             }
-            this.state.timeline.record("leader.hand-over", { detail: `to=${heir.url}` });
+            this.state.timeline.record("leader.hand-over", { detail: `to=${successor.url}` });
             const { electionMs } = this.state.options;
-            await this.peers.connect(heir.url).elect(this.term, electionMs).catch(() => undefined);
+            await this.peers.connect(successor.url).elect(this.term, electionMs).catch(() => undefined);
             await this.state.changed.wait(electionMs);
         }
     }
 
-    private bestHeir(): Member | undefined {
+    private bestSuccessor(): Member | undefined {
         const others = votersOf(this.state.membership).filter(voter => voter.id !== this.state.memberId);
-        const match = (voter: Member) => Number(this.replications.get(voter.id)!.matchIndex);
-        return others.filter(voter => this.isFresh(voter.id)).sort((a, b) => match(b) - match(a))[0];
+        const matchIndexOf = (voter: Member) => Number(this.replications.get(voter.id)!.matchIndex);
+        return others.filter(voter => this.isResponsive(voter.id)).sort((a, b) => matchIndexOf(b) - matchIndexOf(a))[0];
     }
 
-    /** Whether a member was heard within an election time. */
-    private isFresh(id: string): boolean {
+    /** Whether the member has responded within the election timeout. */
+    private isResponsive(id: string): boolean {
         return this.silentMs(id) < this.state.options.electionMs;
     }
 
-    private synced(index: bigint): void {
+    private onSynced(index: bigint): void {
         if (this.active && index > this.syncedIndex) {
             this.syncedIndex = index;
-            this.advanceCommit();
+            this.advanceCommitIndex();
         }
     }
 
-    private wakeAll(): void {
+    private wakeReplications(): void {
         this.replications.forEach(replication => replication.wake.notify());
     }
 
-    /** Starts a task for every member that has none, and forgets those that are no members any more. */
-    private startReplications(): void {
+    /** Starts replication to new members, and removes it for former members. */
+    private updateReplications(): void {
         const { membership, memberId } = this.state;
         for (const { id } of membership?.members ?? []) {
             if (id !== memberId && !this.replications.has(id)) {
@@ -204,55 +209,57 @@
             }
         }
         for (const id of this.replications.keys()) {
-            if (memberOf(membership, id) === undefined) {
+            if (findMember(membership, id) === undefined) {
                 this.replications.delete(id);
             }
         }
     }
 
-    /** Commits the newest entry of this term that a majority has synced. */
-    private advanceCommit(): void {
+    /** Advances the commit index to the last entry of this term that a majority has synced. */
+    private advanceCommitIndex(): void {
         if (!this.active) {
             return;
         }
         const voters = votersOf(this.state.membership);
-        const matches = voters.map(({ id }) =>
+        const matchIndexes = voters.map(({ id }) =>
             id === this.state.memberId ? this.syncedIndex : this.replications.get(id)?.matchIndex ?? 0n
         );
-        matches.sort((a, b) => a > b ? -1 : a < b ? 1 : 0);
-        const index = matches[majorityOf(voters.length) - 1] ?? 0n;
+        matchIndexes.sort((a, b) => a > b ? -1 : a < b ? 1 : 0);
+        const index = matchIndexes[quorumSize(voters.length) - 1] ?? 0n;
         if (index > this.state.commitIndex && this.state.log.termAt(index) === this.term) {
             this.applier.commitTo(index);
-            this.wakeAll();
+            this.wakeReplications();
             void this.members.promoteLearners();
         }
     }
 
-    private quorumAnswered(round: bigint): boolean {
+    private hasQuorumFor(round: bigint): boolean {
         const voters = votersOf(this.state.membership);
         const count =
-            voters.filter(({ id }) => id === this.state.memberId || (this.replications.get(id)?.round ?? -1n) >= round)
+            voters.filter(({ id }) =>
+                id === this.state.memberId || (this.replications.get(id)?.acknowledgedRound ?? -1n) >= round
+            )
                 .length;
-        return count >= majorityOf(voters.length);
+        return count >= quorumSize(voters.length);
     }
 
-    /** Steps down when a majority has not been heard, so that a cut-off leader knows that it leads no more. */
-    private async watchQuorum(): Promise<void> {
+    /** Steps down when no majority responds, so that a partitioned leader does not consider itself the leader. */
+    private async monitorQuorum(): Promise<void> {
         const { heartbeatMs, electionMs } = this.state.options;
         while (this.active) {
-            await this.answers.wait(heartbeatMs);
+            await this.responseReceived.wait(heartbeatMs);
             const voters = votersOf(this.state.membership);
-            const fresh = voters.filter(({ id }) => id === this.state.memberId || this.isFresh(id)).length;
-            if (fresh >= majorityOf(voters.length)) {
-                this.lastQuorum = steadyNow();
+            const responsive = voters.filter(({ id }) => id === this.state.memberId || this.isResponsive(id)).length;
+            if (responsive >= quorumSize(voters.length)) {
+                this.lastQuorumAt = steadyNow();
             }
-            if (this.active && steadyNow() - this.lastQuorum > electionMs * 2) {
+            if (this.active && steadyNow() - this.lastQuorumAt > electionMs * 2) {
                 this.state.timeline.record("leader.lost-quorum", { detail: `term=${this.term}` });
-                void this.state.follow(this.term, "", "");
+                void this.state.becomeFollower(this.term, "", "");
             }
             void this.members.promoteLearners();
-            void this.members.dropSilentLearners();
+            void this.members.removeUnresponsiveLearners();
         }
-        this.answers.notify();
+        this.responseReceived.notify();
     }
 }
--- a/packages/consensus/src/logs.ts
+++ b/packages/consensus/src/logs.ts
@@ -1,24 +1,24 @@
-/** The log in memory: the newest snapshot, and the entries that follow its base. */
+/** The in-memory log: the latest snapshot, and the entries retained after compaction. */
 import { type Entry, type Membership, type Snapshot } from "./gen/winchpath/consensus/v1/consensus_pb.js";
 
-/** Bytes of commands that go into one message at most. */
+/** Maximum total size of the commands in one append request, in bytes. */
 const maxBatchBytes = 4 * 1024 * 1024;
 const maxBatchEntries = 2000;
 
 export class Log {
-    /** Entries with an index above the base, without gaps. */
+    /** Entries after the base index, without gaps. */
     private entries: Entry[];
-    /** Every membership from the snapshot on, oldest first: it is asked for at each entry. */
-    private memberships: PlacedMembership[];
-    /** Index and term of the entry just before the first kept one. */
+    /** Memberships from the snapshot on, oldest first; cached for fast lookup. */
+    private memberships: IndexedMembership[];
+    /** Index and term of the entry before the first retained one. */
     private baseIndex: bigint;
     private baseTerm: bigint;
 
     public constructor(private newestSnapshot: Snapshot | undefined, entries: readonly Entry[]) {
         const snapshotIndex = newestSnapshot?.index ?? 0n;
-        this.memberships = placedMemberships(newestSnapshot, entries);
+        this.memberships = indexedMemberships(newestSnapshot, entries);
         if (entries.length > 0 && entries[0].index <= snapshotIndex) {
-            // The term before the first kept entry is not known: that entry becomes the base.
+            // The term of the entry before the first retained one is unknown, so the first one becomes the base.
             this.baseIndex = entries[0].index;
             this.baseTerm = entries[0].term;
             this.entries = entries.slice(1);
@@ -50,12 +50,12 @@
         return this.baseIndex + 1n;
     }
 
-    /** The term of an entry; undefined where the log does not reach. */
+    /** Term of the entry at `index`; undefined if the entry is compacted away or not in the log. */
     public termAt(index: bigint): bigint | undefined {
-        return index === this.baseIndex ? this.baseTerm : this.at(index)?.term;
+        return index === this.baseIndex ? this.baseTerm : this.entryAt(index)?.term;
     }
 
-    public at(index: bigint): Entry | undefined {
+    public entryAt(index: bigint): Entry | undefined {
         return index <= this.baseIndex ? undefined : this.entries[Number(index - this.baseIndex) - 1];
     }
 
@@ -66,18 +66,18 @@
         }
     }
 
-    /** Drops the entry at `index` and all behind it. */
+    /** Removes the entry at `index` and all entries after it. */
     public truncateFrom(index: bigint): void {
         this.entries.length = Number(index - this.baseIndex) - 1;
-        this.memberships = this.memberships.filter(placed => placed.index < index);
+        this.memberships = this.memberships.filter(indexed => indexed.index < index);
     }
 
-    /** Entries from `index` on that fit one message. */
+    /** Entries from `index` on that fit into one append request. */
     public batchFrom(index: bigint): Entry[] {
         const batch: Entry[] = [];
         let bytes = 0;
         for (let next = index; next <= this.lastIndex && batch.length < maxBatchEntries; next += 1n) {
-            const entry = this.at(next)!;
+            const entry = this.entryAt(next)!;
             bytes += entry.payload.case === "command" ? entry.payload.value.length : 0;
             if (bytes > maxBatchBytes && batch.length > 0) {
                 break;
@@ -87,12 +87,12 @@
         return batch;
     }
 
-    /** Takes a snapshot of applied state, and keeps `trailing` entries before it for slow followers. */
+    /** Compacts the log up to a snapshot, retaining the last `trailing` entries before it for slow followers. */
     public compact(snapshot: Snapshot, trailing: number): void {
         this.newestSnapshot = snapshot;
         this.memberships = [
-            ...placedMemberships(snapshot, []),
-            ...this.memberships.filter(placed => placed.index > snapshot.index),
+            ...indexedMemberships(snapshot, []),
+            ...this.memberships.filter(indexed => indexed.index > snapshot.index),
         ];
         const base = snapshot.index - BigInt(trailing);
         if (base > this.baseIndex) {
@@ -102,41 +102,41 @@
         }
     }
 
-    /** Forgets everything in favour of a snapshot from the leader. */
+    /** Replaces the whole log with a snapshot from the leader. */
     public reset(snapshot: Snapshot): void {
         this.newestSnapshot = snapshot;
         this.entries = [];
-        this.memberships = placedMemberships(snapshot, []);
+        this.memberships = indexedMemberships(snapshot, []);
         this.baseIndex = snapshot.index;
         this.baseTerm = snapshot.term;
     }
 
-    /** The kept entries, for the store. */
-    public all(): readonly Entry[] {
+    /** All entries that have not been compacted away. */
+    public retainedEntries(): readonly Entry[] {
         return this.entries;
     }
 
-    /** The newest membership up to `index`, and where it stands. */
-    public membershipUpTo(index: bigint): PlacedMembership | undefined {
-        return this.memberships.findLast(placed => placed.index <= index);
+    /** Latest membership at or before `index`. */
+    public membershipUpTo(index: bigint): IndexedMembership | undefined {
+        return this.memberships.findLast(indexed => indexed.index <= index);
     }
 }
 
-/** A membership, and the index from which on it counts. */
-export interface PlacedMembership {
+/** A membership, and the log index at which it takes effect. */
+export interface IndexedMembership {
     readonly index: bigint;
     readonly membership: Membership;
 }
 
-function placedMemberships(snapshot: Snapshot | undefined, entries: readonly Entry[]): PlacedMembership[] {
-    const placed: PlacedMembership[] = [];
+function indexedMemberships(snapshot: Snapshot | undefined, entries: readonly Entry[]): IndexedMembership[] {
+    const indexed: IndexedMembership[] = [];
     if (snapshot?.membership !== undefined) {
-        placed.push({ index: snapshot.index, membership: snapshot.membership });
+        indexed.push({ index: snapshot.index, membership: snapshot.membership });
     }
     for (const { index, payload } of entries) {
         if (payload.case === "membership" && index > (snapshot?.index ?? 0n)) {
-            placed.push({ index, membership: payload.value });
+            indexed.push({ index, membership: payload.value });
         }
     }
-    return placed;
+    return indexed;
 }
--- a/packages/consensus/src/machines.ts
+++ b/packages/consensus/src/machines.ts
@@ -1,53 +1,55 @@
-/** The replicated state: several slices' machines behind one log. */
+/** Replicated state machines: several state slices that share one log. */
 import { Failure, FailureCode } from "@winchpath/core";
 
-/** Where in the log a command stands. */
+/** Position of a command in the log. */
 export interface CommandContext {
     readonly index: number;
     readonly term: number;
-    /** Leader's clock in milliseconds since the epoch; the same at every replica, never going back. */
+    /** Leader's clock in milliseconds since the epoch; equal on all replicas, and never decreases within the log. */
     readonly time: number;
 }
 
-/** State that follows from the commands alone: no clock, no chance, no I/O. */
+/** Deterministic state machine: its state depends on the applied commands only, not on clocks, randomness or I/O. */
 export interface StateMachine {
-    /** Applies a committed command and gives its result. */
+    /** Applies a committed command and returns its result. */
     apply(command: Uint8Array, context: CommandContext): Uint8Array;
     snapshot(): Uint8Array;
     restore(state: Uint8Array): void;
 }
 
-/** The state of one slice; commands, results and state are JSON values. */
-export interface SliceMachine {
+/** State machine of one slice of the replicated state; commands, results and state are JSON values. */
+export interface StateMachineSlice {
     readonly slice: string;
     apply(command: unknown, context: CommandContext): unknown;
     snapshot(): unknown;
     restore(state: unknown): void;
 }
 
-interface Envelope {
+interface CommandEnvelope {
     readonly slice: string;
     readonly command: unknown;
 }
 
-/** Hands each command to its slice. */
+/** Dispatches each command to the slice that it names. */
 export class ComposedMachine implements StateMachine {
-    private readonly slices: ReadonlyMap<string, SliceMachine>;
+    private readonly slices: ReadonlyMap<string, StateMachineSlice>;
 
-    public constructor(slices: readonly SliceMachine[]) {
+    public constructor(slices: readonly StateMachineSlice[]) {
         this.slices = new Map(slices.map(slice => [slice.slice, slice]));
     }
 
     public apply(command: Uint8Array, context: CommandContext): Uint8Array {
-        const envelope = envelopeOf(command);
+        const envelope = decodeEnvelope(command);
         if (envelope === undefined) {
-            // All replicas come to the same: a command that says nothing changes nothing. To
-            // throw here would keep every replica from ever applying what comes behind it.
+            // Skipped on every replica alike; throwing would block all later entries.
             return encodeJson({ malformed: true });
         }
         const machine = this.slices.get(envelope.slice);
         if (machine === undefined) {
-            throw Failure.of(FailureCode.invalid, `no slice ${envelope.slice}; this process is older than the log`);
+            throw Failure.of(
+                FailureCode.invalid,
+                `unknown state slice ${envelope.slice}; this version is older than the log`,
+            );
         }
         return encodeJson(machine.apply(envelope.command, context) ?? {});
     }
@@ -66,16 +68,16 @@
     }
 }
 
-function envelopeOf(command: Uint8Array): Envelope | undefined {
+function decodeEnvelope(command: Uint8Array): CommandEnvelope | undefined {
     try {
-        return decodeJson(command) as Envelope;
+        return decodeJson(command) as CommandEnvelope;
     }
     catch {
         return undefined;
     }
 }
 
-/** A command for one slice, as it goes into the log. */
+/** Encodes a command for one slice as stored in the log. */
 export function encodeCommand(slice: string, command: unknown): Uint8Array {
     return encodeJson({ slice, command });
 }
--- a/packages/consensus/src/members.ts
+++ b/packages/consensus/src/members.ts
@@ -1,4 +1,4 @@
-/** Questions to a membership. */
+/** Queries and updates of a membership. */
 import { clone, create } from "@bufbuild/protobuf";
 import { type Member, type Membership, MembershipSchema } from "./gen/winchpath/consensus/v1/consensus_pb.js";
 
@@ -6,15 +6,15 @@
     return membership?.members.filter(member => member.voter) ?? [];
 }
 
-export function majorityOf(voters: number): number {
+export function quorumSize(voters: number): number {
     return Math.floor(voters / 2) + 1;
 }
 
-export function memberOf(membership: Membership | undefined, id: string): Member | undefined {
+export function findMember(membership: Membership | undefined, id: string): Member | undefined {
     return membership?.members.find(member => member.id === id);
 }
 
-/** The membership with `member` added, or put in the place of the one with its id. */
+/** A copy of the membership with `member` added, replacing any member with the same id. */
 export function withMember(membership: Membership, member: Member): Membership {
     const next = clone(MembershipSchema, membership);
     next.members = [...next.members.filter(other => other.id !== member.id), member];
--- a/packages/consensus/src/memberships.ts
+++ b/packages/consensus/src/memberships.ts
@@ -1,31 +1,31 @@
-/** Changes of the membership by the leader: one at a time. */
+/** Membership changes by the leader, one at a time. */
 import { create } from "@bufbuild/protobuf";
 import { Failure, FailureCode, messageOf, until } from "@winchpath/core";
 import { type Applier } from "./appliers.js";
 import { type Entry, type Member, MemberSchema, type Membership } from "./gen/winchpath/consensus/v1/consensus_pb.js";
-import { memberOf, votersOf, withMember, withoutMember } from "./members.js";
+import { findMember, votersOf, withMember, withoutMember } from "./members.js";
 import { type ReplicaState } from "./states.js";
 
-/** Election times that a change may wait for the one before it. */
-const patience = 10;
+/** Timeout for the preceding change, as a multiple of `electionMs`. */
+const changeTimeoutFactor = 10;
 
-/** What the changes ask of their leader. */
+/** The part of the leadership that membership changes need. */
 export interface MembershipLeader {
     readonly term: bigint;
     readonly active: boolean;
-    /** Whether everything of earlier terms is applied. */
+    /** Whether all entries of earlier terms are applied. */
     readonly ready: boolean;
     appendEntry(payload: Entry["payload"]): bigint;
-    /** Whether a member was heard lately, and has the log up to the commit index. */
+    /** Whether the member is responsive and has the log up to the commit index. */
     isCaughtUp(id: string): boolean;
-    /** Milliseconds since a member was heard. */
+    /** Milliseconds since the member's last response. */
     silentMs(id: string): number;
 }
 
 export class MembershipChanges {
-    /** The change under way; the next one waits for it. */
-    private changing: Promise<void> = Promise.resolve();
-    private promoting = false;
+    /** Settles with the latest change; the next change waits for it. */
+    private lastChange: Promise<void> = Promise.resolve();
+    private changeInProgress = false;
 
     public constructor(
         private readonly leader: MembershipLeader,
@@ -33,118 +33,124 @@
         private readonly applier: Applier,
     ) {}
 
-    /** Adds a member as a learner, or takes in its new URL. A learner of the same host is replaced. */
+    /** Adds a member as a learner, or updates its URL. Replaces an earlier learner of the same host. */
     public async join(joining: Member): Promise<void> {
-        if (memberOf(this.state.membership, joining.id)?.url === joining.url) {
+        if (findMember(this.state.membership, joining.id)?.url === joining.url) {
             return;
         }
-        await this.change(membership => {
+        await this.enqueueChange(membership => {
             const members = membership.members.filter(other =>
                 other.voter || other.host !== joining.host || other.id === joining.id
             );
-            const voter = memberOf(membership, joining.id)?.voter ?? false;
+            const voter = findMember(membership, joining.id)?.voter ?? false;
             return withMember({ ...membership, members }, create(MemberSchema, { ...joining, voter }));
         });
     }
 
-    /** Makes a voter of a learner that has caught up, in the place of its host's earlier member. */
+    /** Promotes a learner that has caught up to a voter, replacing its host's earlier member if there is one. */
     public async promoteLearners(): Promise<void> {
-        const learner = this.caughtUpLearner();
-        if (this.promoting || learner === undefined) {
+        const learner = this.promotableLearner();
+        if (this.changeInProgress || learner === undefined) {
             return;
         }
-        this.promoting = true;
+        this.changeInProgress = true;
         try {
-            await this.change(membership => this.promote(membership, learner));
+            await this.enqueueChange(membership => this.promotionStep(membership, learner));
         }
         catch (err) {
             this.state.events.warn("members.promotion-failed", { error: messageOf(err) });
         }
         finally {
-            this.promoting = false;
+            this.changeInProgress = false;
         }
     }
 
-    /** Drops a learner that was not heard for long; it is most often gone for good. */
-    public async dropSilentLearners(): Promise<void> {
+    /** Removes a learner that has not responded for `removeLearnerAfterMs`. */
+    public async removeUnresponsiveLearners(): Promise<void> {
         const { leader, state } = this;
-        const silent = state.membership?.members.find(member =>
-            !member.voter && member.id !== state.memberId && leader.silentMs(member.id) > state.options.forgetAfterMs
+        const unresponsive = state.membership?.members.find(member =>
+            !member.voter && member.id !== state.memberId
+            && leader.silentMs(member.id) > state.options.removeLearnerAfterMs
         );
-        if (silent === undefined || this.promoting || !leader.ready) {
+        if (unresponsive === undefined || this.changeInProgress || !leader.ready) {
             return;
         }
-        this.promoting = true;
+        this.changeInProgress = true;
         try {
-            await this.change(membership => withoutMember(membership, silent.id));
+            await this.enqueueChange(membership => withoutMember(membership, unresponsive.id));
         }
         catch (err) {
-            state.events.warn("members.drop-failed", { member: silent.url, error: messageOf(err) });
+            state.events.warn("members.drop-failed", { member: unresponsive.url, error: messageOf(err) });
         }
         finally {
-            this.promoting = false;
+            this.changeInProgress = false;
         }
     }
 
-    /** One step: an earlier voter that the learner replaces goes, and only then the learner gets its vote. */
-    private promote(membership: Membership, learner: Member): Membership {
-        const replaced = this.replacedBy(membership, learner);
-        return replaced === undefined
+    /** Next step of a promotion: removes the voter that the learner replaces, then makes the learner a voter. */
+    private promotionStep(membership: Membership, learner: Member): Membership {
+        const obsolete = this.voterToRemove(membership, learner);
+        return obsolete === undefined
             ? withMember(membership, create(MemberSchema, { ...learner, voter: true }))
-            : withoutMember(membership, replaced.id);
+            : withoutMember(membership, obsolete.id);
     }
 
-    /** The voter that has to go first: that of the same host, or a silent one where there are enough voters. */
-    private replacedBy(membership: Membership, learner: Member): Member | undefined {
+    /** The voter to remove first: that of the same host or, at the voter limit, an unresponsive one. */
+    private voterToRemove(membership: Membership, learner: Member): Member | undefined {
         const voters = votersOf(membership);
         const sameHost = voters.find(voter => voter.host === learner.host);
-        return sameHost ?? (this.isFull(voters) ? this.silentVoter(voters) : undefined);
+        return sameHost ?? (this.hasMaxVoters(voters) ? this.unresponsiveVoter(voters) : undefined);
     }
 
-    private isFull(voters: readonly Member[]): boolean {
+    private hasMaxVoters(voters: readonly Member[]): boolean {
         return voters.length >= (this.state.options.maxVoters ?? Number.POSITIVE_INFINITY);
     }
 
-    private silentVoter(voters: readonly Member[]): Member | undefined {
+    private unresponsiveVoter(voters: readonly Member[]): Member | undefined {
         const { memberId, options } = this.state;
-        return voters.find(({ id }) => id !== memberId && this.leader.silentMs(id) > options.replaceAfterMs);
+        return voters.find(({ id }) => id !== memberId && this.leader.silentMs(id) > options.replaceVoterAfterMs);
     }
 
-    private caughtUpLearner(): Member | undefined {
+    private promotableLearner(): Member | undefined {
         const { membership } = this.state;
         const voters = votersOf(membership);
-        const hasPlace = (learner: Member) =>
-            !this.isFull(voters) || this.silentVoter(voters) !== undefined
+        const canBecomeVoter = (learner: Member) =>
+            !this.hasMaxVoters(voters) || this.unresponsiveVoter(voters) !== undefined
             || voters.some(voter => voter.host === learner.host);
         return membership?.members.find(member =>
             this.leader.ready && member.wantsVote && !member.voter && this.leader.isCaughtUp(member.id)
-            && hasPlace(member)
+            && canBecomeVoter(member)
         );
     }
 
-    private change(change: (membership: Membership) => Membership): Promise<void> {
-        const changed = this.changing.then(() => this.changeNow(change));
-        this.changing = changed.catch(() => undefined);
+    private enqueueChange(update: (membership: Membership) => Membership): Promise<void> {
+        const changed = this.lastChange.then(() => this.applyChange(update));
+        this.lastChange = changed.catch(() => undefined);
         return changed;
     }
 
-    private async changeNow(change: (membership: Membership) => Membership): Promise<void> {
+    private async applyChange(update: (membership: Membership) => Membership): Promise<void> {
         const { leader, state, applier } = this;
-        const timeoutMs = state.options.electionMs * patience;
-        await until(() => !leader.active || this.mayChange(), applier.applied, timeoutMs, "the change before");
+        const timeoutMs = state.options.electionMs * changeTimeoutFactor;
+        await until(
+            () => !leader.active || this.canChange(),
+            applier.applied,
+            timeoutMs,
+            "the preceding membership change",
+        );
         if (!leader.active) {
             throw Failure.of(FailureCode.noLeader, "leadership was lost");
         }
-        const next = change(state.membership!);
+        const updated = update(state.membership!);
         state.timeline.record("members.changed", {
-            detail: next.members.map(member => `${member.host}${member.voter ? "" : " (learner)"}`).join(", "),
+            detail: updated.members.map(member => `${member.host}${member.voter ? "" : " (learner)"}`).join(", "),
         });
-        const index = leader.appendEntry({ case: "membership", value: next });
-        await applier.waitFor(index, leader.term);
+        const index = leader.appendEntry({ case: "membership", value: updated });
+        await applier.waitForEntry(index, leader.term);
     }
 
-    /** Not before the leader's first entry is committed, nor before the newest membership is. */
-    private mayChange(): boolean {
+    /** Whether both the leader's first entry and the latest membership are committed. */
+    private canChange(): boolean {
         const newest = this.state.log.membershipUpTo(this.state.log.lastIndex);
         return this.leader.ready && newest !== undefined && newest.index <= this.state.commitIndex;
     }
--- a/packages/consensus/src/memory.ts
+++ b/packages/consensus/src/memory.ts
@@ -1,10 +1,10 @@
-/** The store of a learner without a data folder. */
+/** The log store of a learner without a data folder. */
 import { create } from "@bufbuild/protobuf";
 import { newIdentity } from "@winchpath/core";
 import { HardStateSchema } from "./gen/winchpath/consensus/v1/consensus_pb.js";
 import { type LogStore, type StoredState } from "./stores.js";
 
-/** Keeps nothing: the replica holds its log in memory, and is a new member at each start. */
+/** Persists nothing: the replica keeps its log in memory only, and is a new member after each start. */
 export class MemoryLogStore implements LogStore {
     public readonly durable = false;
 
--- a/packages/consensus/src/peers.ts
+++ b/packages/consensus/src/peers.ts
@@ -1,4 +1,4 @@
-/** How a replica reaches the others. */
+/** RPC clients for the other replicas. */
 import { type Client, Code, ConnectError } from "@connectrpc/connect";
 import { Failure, FailureCode, messageOf } from "@winchpath/core";
 import { isSilence, type RpcClients } from "@winchpath/rpc";
@@ -12,30 +12,30 @@
     type VoteResponse,
 } from "./gen/winchpath/consensus/v1/consensus_pb.js";
 
-/** A replica that looks for its group. */
-export interface ProbeAsker {
+/** The replica that sends a probe. */
+export interface ProbeSender {
     readonly memberId: string;
     readonly url: string;
 }
 
-/** Calls to one other replica. Each fails with a `Failure` when time runs out. */
+/** Calls to one other replica; each rejects with a `Failure` on errors and timeouts. */
 export interface Peer {
     vote(req: VoteRequest, timeoutMs: number): Promise<VoteResponse>;
     append(req: AppendRequest, timeoutMs: number): Promise<AppendResponse>;
-    /** `asker`: who asks, where it holds a log of its own. */
-    probe(timeoutMs: number, asker?: ProbeAsker): Promise<ProbeResponse>;
+    /** `sender` identifies the calling replica, if it has a durable log. */
+    probe(timeoutMs: number, sender?: ProbeSender): Promise<ProbeResponse>;
     join(member: Member, timeoutMs: number): Promise<void>;
     propose(command: Uint8Array, timeoutMs: number): Promise<{ index: bigint; result: Uint8Array; }>;
     readIndex(timeoutMs: number): Promise<{ index: bigint; term: bigint; }>;
     elect(term: bigint, timeoutMs: number): Promise<void>;
 }
 
-/** Finds a replica by its URL; tests put cuts and delays here. */
+/** Creates peers by URL; tests replace it to simulate network partitions. */
 export interface PeerConnector {
     connect(url: string): Peer;
 }
 
-/** Peers over Connect. */
+/** Connects to peers by Connect RPC. */
 export class RpcPeerConnector implements PeerConnector {
     public constructor(private readonly clients: RpcClients) {}
 
@@ -52,35 +52,35 @@
     }
 
     public vote(req: VoteRequest, timeoutMs: number): Promise<VoteResponse> {
-        return this.typed(this.client.vote(req, { timeoutMs }));
+        return this.convertErrors(this.client.vote(req, { timeoutMs }));
     }
 
     public append(req: AppendRequest, timeoutMs: number): Promise<AppendResponse> {
-        return this.typed(this.client.append(req, { timeoutMs }));
+        return this.convertErrors(this.client.append(req, { timeoutMs }));
     }
 
-    public probe(timeoutMs: number, asker?: ProbeAsker): Promise<ProbeResponse> {
-        return this.typed(this.client.probe({ ...asker }, { timeoutMs }));
+    public probe(timeoutMs: number, sender?: ProbeSender): Promise<ProbeResponse> {
+        return this.convertErrors(this.client.probe({ ...sender }, { timeoutMs }));
     }
 
     public async join(member: Member, timeoutMs: number): Promise<void> {
-        await this.typed(this.client.join({ member }, { timeoutMs }));
+        await this.convertErrors(this.client.join({ member }, { timeoutMs }));
     }
 
     public propose(command: Uint8Array, timeoutMs: number): Promise<{ index: bigint; result: Uint8Array; }> {
-        return this.typed(this.client.propose({ command }, { timeoutMs }));
+        return this.convertErrors(this.client.propose({ command }, { timeoutMs }));
     }
 
     public readIndex(timeoutMs: number): Promise<{ index: bigint; term: bigint; }> {
-        return this.typed(this.client.readIndex({}, { timeoutMs }));
+        return this.convertErrors(this.client.readIndex({}, { timeoutMs }));
     }
 
     public async elect(term: bigint, timeoutMs: number): Promise<void> {
-        await this.typed(this.client.elect({ term }, { timeoutMs }));
+        await this.convertErrors(this.client.elect({ term }, { timeoutMs }));
     }
 
-    /** `FailedPrecondition` is what {@link toConnectError} makes of "nothing was proposed". */
-    private async typed<T>(call: Promise<T>): Promise<T> {
+    /** Converts RPC errors to failures; {@link toConnectError} uses `FailedPrecondition` if nothing was proposed. */
+    private async convertErrors<T>(call: Promise<T>): Promise<T> {
         try {
             return await call;
         }
@@ -96,8 +96,8 @@
     }
 }
 
-/** The RPC error for a failure. */
+/** Converts a failure to an RPC error. */
 export function toConnectError(err: unknown): ConnectError {
-    const nothingDone = err instanceof Failure && err.code === FailureCode.noLeader;
-    return new ConnectError(messageOf(err), nothingDone ? Code.FailedPrecondition : Code.Unknown);
+    const notProposed = err instanceof Failure && err.code === FailureCode.noLeader;
+    return new ConnectError(messageOf(err), notProposed ? Code.FailedPrecondition : Code.Unknown);
 }
--- a/packages/consensus/src/records.ts
+++ b/packages/consensus/src/records.ts
@@ -1,6 +1,6 @@
 /**
- * The framing of records in the log file: magic, length, checksum, message.
- * All numbers are little endian, 32 bits.
+ * Framing of records in the log file: magic bytes, length, CRC-32 checksum, message.
+ * Numbers are 32-bit little-endian.
  */
 import { create, fromBinary, toBinary } from "@bufbuild/protobuf";
 import { Failure, FailureCode } from "@winchpath/core";
@@ -12,14 +12,14 @@
 const checksumOffset = lengthOffset + 4;
 const headerBytes = checksumOffset + 4;
 
-/** What a log file held, and how many bytes of it are sound. */
+/** Records decoded from a log file. */
 export interface DecodedRecords {
     readonly records: LogRecord[];
-    /** The file is to be cut here: what follows was never wholly written. */
-    readonly soundBytes: number;
+    /** Length of the valid prefix; the rest is an incomplete write and must be truncated. */
+    readonly validBytes: number;
 }
 
-/** Frames records for one write. */
+/** Encodes records as one buffer. */
 export function encodeRecords(records: readonly LogRecord[]): Buffer {
     return Buffer.concat(records.flatMap(record => {
         const body = toBinary(LogRecordSchema, record);
@@ -32,37 +32,36 @@
 }
 
 /**
- * Reads records back. A torn tail is left out. A bad record with a sound one
- * behind it is damage, not a torn write: `corrupt-log` is thrown, since cutting
- * there would forget what was acknowledged.
+ * Decodes records and ignores an incomplete one at the end of the file. Throws `corrupt-log` if
+ * valid records follow an invalid one, since truncating there would lose acknowledged entries.
  */
 export function decodeRecords(bytes: Buffer, file: string): DecodedRecords {
     const records: LogRecord[] = [];
     let offset = 0;
     while (offset < bytes.length) {
-        const body = bodyAt(bytes, offset);
+        const body = readBody(bytes, offset);
         if (body === undefined) {
-            refuseDamage(bytes, offset, file);
+            rejectCorruption(bytes, offset, file);
             break;
         }
         records.push(fromBinary(LogRecordSchema, body));
         offset += headerBytes + body.length;
     }
-    return { records, soundBytes: offset };
+    return { records, validBytes: offset };
 }
 
-/** A record message from one of its variants. */
-export function recordOf(record: LogRecord["record"]): LogRecord {
+/** Creates a record message from one of its variants. */
+export function createRecord(record: LogRecord["record"]): LogRecord {
     return create(LogRecordSchema, { record });
 }
 
-function refuseDamage(bytes: Buffer, badOffset: number, file: string): void {
+function rejectCorruption(bytes: Buffer, badOffset: number, file: string): void {
     let next = bytes.indexOf(magic, badOffset + 1);
     while (next !== -1) {
-        if (bodyAt(bytes, next) !== undefined) {
+        if (readBody(bytes, next) !== undefined) {
             throw Failure.of(
                 FailureCode.corruptLog,
-                `bad record at byte ${badOffset}, with a sound one at byte ${next}; replace this host's data folder`,
+                `bad record at byte ${badOffset}, before a valid one at byte ${next}; replace this host's data folder`,
                 [file],
             );
         }
@@ -70,13 +69,13 @@
     }
 }
 
-function bodyAt(bytes: Buffer, offset: number): Buffer | undefined {
+function readBody(bytes: Buffer, offset: number): Buffer | undefined {
     if (bytes.length < offset + headerBytes || !bytes.subarray(offset, offset + magic.length).equals(magic)) {
         return undefined;
     }
     const length = bytes.readUInt32LE(offset + lengthOffset);
     const start = offset + headerBytes;
     const body = bytes.subarray(start, start + length);
-    const sound = body.length === length && crc32(body) === bytes.readUInt32LE(offset + checksumOffset);
-    return sound ? body : undefined;
+    const isValid = body.length === length && crc32(body) === bytes.readUInt32LE(offset + checksumOffset);
+    return isValid ? body : undefined;
 }
--- a/packages/consensus/src/relays.ts
+++ b/packages/consensus/src/relays.ts
@@ -1,4 +1,4 @@
-/** What a host without a disk tells replicas that look for their group. */
+/** Peer discovery on hosts without a disk: responds to probes of replicas that look for their group. */
 import { type MessageInitShape } from "@bufbuild/protobuf";
 import { Code, ConnectError, type ServiceImpl } from "@connectrpc/connect";
 import { steadyNow } from "@winchpath/core";
@@ -8,71 +8,73 @@
     type ProbeResponseSchema,
 } from "./gen/winchpath/consensus/v1/consensus_pb.js";
 
-/** A replica that has not asked for this long is gone, in milliseconds; members ask their seeds once a second. */
-const rememberMs = 10_000;
+/** Time after which a replica's last probe expires, in milliseconds; members probe their seeds every second. */
+const probeExpiryMs = 10_000;
 
-/** What a relay knows by other means. */
-export interface RelayKnowledge {
+/** State of the host that probe responses report. */
+export interface PeerDiscoveryContext {
     readonly host: string;
-    /** URL of the leader; empty where none is known. */
+    /** URL of the leader; empty if unknown. */
     readonly leaderUrl: () => string;
-    /** URLs of the control group's members, as the leader told them. */
+    /** URLs of the control group's members, as reported by the leader. */
     readonly memberUrls: () => readonly string[];
-    /** Whether the whole system starts for the first time, so that a first group may be formed. */
+    /** Whether a new group may be formed because the system starts for the first time. */
     readonly mayForm: () => boolean;
 }
 
 /**
- * It holds no log and has no vote. It introduces replicas that ask it to each
- * other, and at a first start whose seeds have no disk it names the one that
- * forms the group: the first that asked, and no other for as long as it lives.
+ * Lets replicas find each other through a host that has no log and no vote. On the first start it
+ * also designates the replica that forms the group if no seed has a disk: the first one that sends
+ * a probe, for the lifetime of the process.
  */
 export class ConsensusRelay {
-    /** Steady time at which each replica last asked, by its URL. */
-    private readonly askers = new Map<string, number>();
+    /** Monotonic time of each replica's last probe, by URL. */
+    private readonly lastProbes = new Map<string, number>();
     private founder = "";
 
-    public constructor(private readonly known: RelayKnowledge) {}
+    public constructor(private readonly context: PeerDiscoveryContext) {}
 
     public service(): Partial<ServiceImpl<typeof ConsensusService>> {
-        const noLog = () => {
-            throw new ConnectError("no log is kept here", Code.FailedPrecondition);
+        const rejectWithoutLog = () => {
+            throw new ConnectError("this host has no replica of the log", Code.FailedPrecondition);
         };
         return {
-            vote: noLog,
-            append: noLog,
-            probe: req => this.answer(req),
-            join: noLog,
-            propose: noLog,
-            readIndex: noLog,
-            elect: noLog,
+            vote: rejectWithoutLog,
+            append: rejectWithoutLog,
+            probe: req => this.handleProbe(req),
+            join: rejectWithoutLog,
+            propose: rejectWithoutLog,
+            readIndex: rejectWithoutLog,
+            elect: rejectWithoutLog,
         };
     }
 
-    /** What a replica that looks for its group is told. */
-    public answer(req: ProbeRequest): MessageInitShape<typeof ProbeResponseSchema> {
+    /** Records the sender of a probe and creates the response. */
+    public handleProbe(req: ProbeRequest): MessageInitShape<typeof ProbeResponseSchema> {
         if (req.url !== "") {
-            this.askers.set(req.url, steadyNow());
-            this.name(req.memberId);
+            this.lastProbes.set(req.url, steadyNow());
+            this.selectFounder(req.memberId);
         }
         return {
-            host: this.known.host,
-            leaderUrl: this.known.leaderUrl(),
+            host: this.context.host,
+            leaderUrl: this.context.leaderUrl(),
             hasDisk: false,
             knownUrls: [...this.knownUrls],
             founder: this.founder,
         };
     }
 
-    /** URLs of hosts with a disk: members of the group, and those that have asked here. */
+    /** URLs of hosts with a disk: members of the group, and replicas with an unexpired probe. */
     public get knownUrls(): readonly string[] {
         const now = steadyNow();
-        const fresh = [...this.askers].filter(([, askedAt]) => now - askedAt < rememberMs).map(([url]) => url);
-        return [...new Set([...this.known.memberUrls(), ...fresh])];
+        const recentUrls = [...this.lastProbes].filter(([, probedAt]) => now - probedAt < probeExpiryMs).map(([url]) =>
+            url
+        );
+        return [...new Set([...this.context.memberUrls(), ...recentUrls])];
     }
 
-    private name(memberId: string): void {
-        if (this.founder === "" && this.known.mayForm() && this.known.leaderUrl() === "") {
+    private selectFounder(memberId: string): void {
+        if (this.founder === "" && this.context.mayForm() && this.context.leaderUrl() === "") {
             this.founder = memberId;
         }
     }
--- a/packages/consensus/src/replicas.ts
+++ b/packages/consensus/src/replicas.ts
@@ -1,8 +1,8 @@
-/** One replica of the control group: what the rest of the process sees of consensus. */
+/** A replica of the control group: the public API of consensus. */
 import { type EventLog, Failure, FailureCode, silentLog, sleep, steadyNow, until, withTimeout } from "@winchpath/core";
 import { type Timeline } from "@winchpath/timeline";
 import { setMaxListeners } from "node:events";
-import { type Applied, Applier } from "./appliers.js";
+import { Applier, type ApplyResult } from "./appliers.js";
 import { Election } from "./elections.js";
 import { Follower } from "./followers.js";
 import { Formation } from "./formations.js";
@@ -13,33 +13,33 @@
 import { type ConsensusOptions, defaultConsensusOptions, type ReplicaIdentity, ReplicaState } from "./states.js";
 import { type LogStore } from "./stores.js";
 
-const retryMs = 25;
-const catchUpMs = 5000;
-const attemptMs = 3000;
+const retryDelayMs = 25;
+const catchUpTimeoutMs = 5000;
+const attemptTimeoutMs = 3000;
 
-/** What a replica is made of. */
-export interface ReplicaParts {
+/** Dependencies and options of a replica. */
+export interface ReplicaConfig {
     readonly identity: ReplicaIdentity;
     readonly store: LogStore;
     readonly machine: StateMachine;
     readonly peers: PeerConnector;
-    /** URLs of control hosts, or a function that gives those of the moment. */
+    /** URLs of the seed hosts, or a function that returns the current ones. */
     readonly seeds: readonly string[] | (() => readonly string[]);
     readonly timeline: Timeline;
-    /** Where failures between replicas are told; nowhere where it is left out. */
+    /** Log for failures between replicas; nothing is logged if omitted. */
     readonly log?: EventLog;
     readonly options?: Partial<ConsensusOptions>;
-    /** The store failed; the process has to stop. */
+    /** Called when the store has failed; the replica must be stopped. */
     readonly onFatal: (err: Error) => void;
 }
 
-/** How one member stands, as the leader sees it. */
+/** Status of one member as seen by the leader. */
 export interface MemberStatus {
     readonly host: string;
     readonly url: string;
     readonly voter: boolean;
     readonly matchIndex: number;
-    /** Milliseconds since it was heard. */
+    /** Milliseconds since the member's last response. */
     readonly silentMs: number;
 }
 
@@ -52,31 +52,31 @@
     private tasks: Promise<unknown>[] = [];
     private leadership: Leadership | undefined;
 
-    private constructor(public readonly state: ReplicaState, private readonly parts: ReplicaParts) {
+    private constructor(public readonly state: ReplicaState, private readonly config: ReplicaConfig) {
         setMaxListeners(0, this.stopping.signal);
-        this.applier = new Applier(state, parts.machine);
+        this.applier = new Applier(state, config.machine);
         this.follower = new Follower(state, this.applier);
-        this.election = new Election(state, parts.peers, () => this.lead());
-        const { seeds } = parts;
-        this.formation = new Formation(state, parts.peers, typeof seeds === "function" ? seeds : () => seeds);
+        this.election = new Election(state, config.peers, () => this.becomeLeader());
+        const { seeds } = config;
+        this.formation = new Formation(state, config.peers, typeof seeds === "function" ? seeds : () => seeds);
     }
 
-    /** Reads the store; the replica answers others from now on, but does nothing of itself. */
-    public static async open(parts: ReplicaParts): Promise<Replica> {
-        const stored = await parts.store.open();
-        const options = { ...defaultConsensusOptions, ...parts.options };
-        const { identity, store, timeline, onFatal, log = silentLog } = parts;
+    /** Opens the store; the replica handles requests from then on, but starts no elections until {@link start}. */
+    public static async open(config: ReplicaConfig): Promise<Replica> {
+        const stored = await config.store.open();
+        const options = { ...defaultConsensusOptions, ...config.options };
+        const { identity, store, timeline, onFatal, log = silentLog } = config;
         const state = new ReplicaState(stored, identity, store, options, timeline, onFatal, log);
-        return new Replica(state, parts);
+        return new Replica(state, config);
     }
 
-    /** Joins or forms the group, and takes part in it. Call it once the listener is up. */
+    /** Joins or forms the group and starts taking part in elections. Call it once the RPC server is listening. */
     public start(): void {
         const { signal } = this.stopping;
         this.tasks = [this.formation.run(signal), this.election.run(signal)];
     }
 
-    /** The leadership of this replica, while it leads and has applied all that came before. */
+    /** Leadership of this replica; undefined unless it leads and has applied all entries of earlier terms. */
     public get leading(): Leadership | undefined {
         return this.leadership?.ready ? this.leadership : undefined;
     }
@@ -87,54 +87,54 @@
     }
 
     /**
-     * Commits a command and returns after it was applied here. It is sent again
-     * when its outcome is not known, so it must be one that may be applied twice.
+     * Commits a command and returns after it was applied on this replica. The command must be
+     * idempotent, since it is sent again if the outcome of an attempt is unknown.
      */
-    public async propose(command: Uint8Array, timeoutMs: number): Promise<Applied> {
+    public async propose(command: Uint8Array, timeoutMs: number): Promise<ApplyResult> {
         const deadline = steadyNow() + timeoutMs;
-        let last: unknown = Failure.of(FailureCode.noLeader, "no leader is known");
+        let lastError: unknown = Failure.of(FailureCode.noLeader, "no leader is known");
         while (steadyNow() < deadline && !this.stopping.signal.aborted) {
             try {
-                const applied = await this.proposeOnce(command, Math.min(attemptMs, deadline - steadyNow()));
-                await this.applier.caughtUp(applied.index, catchUpMs);
+                const applied = await this.proposeOnce(command, Math.min(attemptTimeoutMs, deadline - steadyNow()));
+                await this.applier.waitUntilApplied(applied.index, catchUpTimeoutMs);
                 return applied;
             }
             catch (err) {
-                last = err;
-                await sleep(retryMs, this.stopping.signal);
+                lastError = err;
+                await sleep(retryDelayMs, this.stopping.signal);
             }
         }
-        throw last;
+        throw lastError;
     }
 
-    /** Commits through this replica, which has to lead. */
-    public async proposeHere(command: Uint8Array): Promise<Applied> {
+    /** Commits a command on this replica, which must be the leader. */
+    public async proposeHere(command: Uint8Array): Promise<ApplyResult> {
         if (this.leadership === undefined) {
             throw Failure.of(FailureCode.noLeader, "not the leader");
         }
         return this.leadership.propose(command);
     }
 
-    /** Returns once everything accepted before the call is applied here. */
+    /** Returns once all entries committed before the call are applied on this replica. */
     public async barrier(timeoutMs: number): Promise<void> {
         const deadline = steadyNow() + timeoutMs;
-        let last: unknown = Failure.of(FailureCode.noLeader, "no leader is known");
+        let lastError: unknown = Failure.of(FailureCode.noLeader, "no leader is known");
         while (steadyNow() < deadline && !this.stopping.signal.aborted) {
             try {
-                const left = Math.min(attemptMs, deadline - steadyNow());
-                const index = await this.readIndex(left);
-                await this.applier.caughtUp(index, left);
+                const remainingMs = Math.min(attemptTimeoutMs, deadline - steadyNow());
+                const index = await this.readIndex(remainingMs);
+                await this.applier.waitUntilApplied(index, remainingMs);
                 return;
             }
             catch (err) {
-                last = err;
-                await sleep(retryMs, this.stopping.signal);
+                lastError = err;
+                await sleep(retryDelayMs, this.stopping.signal);
             }
         }
-        throw last;
+        throw lastError;
     }
 
-    /** The index a quorum read waits for, from the leader. */
+    /** Asks the leader for the index that a quorum read must wait for. */
     public async readIndex(timeoutMs: number): Promise<bigint> {
         if (this.leadership?.active) {
             return this.leadership.readIndex(timeoutMs);
@@ -142,29 +142,29 @@
         return (await this.leaderPeer().readIndex(timeoutMs)).index;
     }
 
-    /** Adds or updates a member; asked of the leader. */
+    /** Adds or updates a member; forwarded to the leader if needed. */
     public async join(member: Member): Promise<void> {
         if (this.leadership?.active) {
             await this.leadership.members.join(member);
             return;
         }
-        await this.leaderPeer().join(member, attemptMs);
+        await this.leaderPeer().join(member, attemptTimeoutMs);
     }
 
-    /** Stands for election at once. */
-    public elect(term: bigint): void {
+    /** Starts an election immediately if `term` is still the current term. */
+    public campaign(term: bigint): void {
         if (term === this.state.term) {
-            this.election.standNow();
+            this.election.campaignNow();
         }
     }
 
-    /** Waits until a member of a group that knows its leader. */
+    /** Waits until the replica belongs to a group and knows the leader. */
     public async joined(timeoutMs: number): Promise<void> {
         const done = () => this.state.leaderUrl !== "" && this.state.group !== "";
         await until(done, this.state.changed, timeoutMs, "joining the control group");
     }
 
-    /** How all members stand; empty where this replica does not lead. */
+    /** Status of all members; empty if this replica is not the leader. */
     public memberStatus(): MemberStatus[] {
         const { state, leadership } = this;
         if (!leadership?.active) {
@@ -183,19 +183,19 @@
         });
     }
 
-    /** Hands leadership over, so that the others need not wait for an election. */
+    /** Transfers leadership, which avoids the election timeout of a plain stop. */
     public async handOver(timeoutMs: number): Promise<void> {
         if (this.leadership?.active) {
-            await this.leadership.handOver(timeoutMs);
+            await this.leadership.transferLeadership(timeoutMs);
         }
     }
 
-    /** Lets another voter take over from a leader that can't write any more. */
-    public async abdicate(timeoutMs: number): Promise<void> {
-        await this.leadership?.nameHeir(timeoutMs);
+    /** Asks another voter to take over if this replica leads but its store has failed. */
+    public async resign(timeoutMs: number): Promise<void> {
+        await this.leadership?.requestSuccessor(timeoutMs);
     }
 
-    /** Ends all tasks and closes the store. */
+    /** Stops all tasks and closes the store. */
     public async stop(): Promise<void> {
         this.stopping.abort();
         this.state.role = "follower";
@@ -203,16 +203,16 @@
         this.election.stop();
         this.applier.stop();
         await Promise.allSettled(this.tasks);
-        await this.parts.store.close();
+        await this.config.store.close();
     }
 
-    private lead(): void {
-        this.leadership = new Leadership(this.state, this.applier, this.parts.peers);
+    private becomeLeader(): void {
+        this.leadership = new Leadership(this.state, this.applier, this.config.peers);
     }
 
-    private async proposeOnce(command: Uint8Array, timeoutMs: number): Promise<Applied> {
+    private async proposeOnce(command: Uint8Array, timeoutMs: number): Promise<ApplyResult> {
         if (this.leadership?.active) {
-            return withTimeout(this.leadership.propose(command), timeoutMs, "a majority's answer");
+            return withTimeout(this.leadership.propose(command), timeoutMs, "committing the command");
         }
         return this.leaderPeer().propose(command, timeoutMs);
     }
@@ -222,6 +222,6 @@
         if (leaderUrl === "" || leaderUrl === this.state.identity.url) {
             throw Failure.of(FailureCode.noLeader, "no leader is known");
         }
-        return this.parts.peers.connect(leaderUrl);
+        return this.config.peers.connect(leaderUrl);
     }
 }
--- a/packages/consensus/src/replications.ts
+++ b/packages/consensus/src/replications.ts
@@ -1,4 +1,4 @@
-/** The task by which the leader keeps one member up to date. */
+/** Replicates the leader's log to one member. */
 import { create } from "@bufbuild/protobuf";
 import { messageOf, Notifier, sleep, steadyNow } from "@winchpath/core";
 import {
@@ -6,33 +6,33 @@
     AppendRequestSchema,
     type AppendResponse,
 } from "./gen/winchpath/consensus/v1/consensus_pb.js";
-import { memberOf } from "./members.js";
+import { findMember } from "./members.js";
 import { type PeerConnector } from "./peers.js";
 import { type ReplicaState } from "./states.js";
 
-/** What the task asks of its leader. */
+/** The part of the leadership that replication needs. */
 export interface ReplicationLeader {
     readonly term: bigint;
     readonly active: boolean;
-    /** Newest round of heartbeats that somebody waits for. */
-    readonly round: bigint;
-    /** The member has answered. */
-    answered(): void;
+    /** Latest heartbeat round requested by a quorum read. */
+    readonly heartbeatRound: bigint;
+    /** Called after every response of the member. */
+    onResponse(): void;
 }
 
-/** Longest pause between two tries to reach a member that does not answer, in milliseconds. */
+/** Maximum delay between retries for an unreachable member, in milliseconds. */
 const maxBackoffMs = 1000;
 
 export class Replication {
-    /** Last index that is known to agree with the leader's log. */
+    /** Last index known to match the leader's log. */
     public matchIndex = 0n;
-    /** Newest round of heartbeats that the member has answered. */
-    public round = 0n;
-    /** Steady time of the last answer. */
-    public heardAt = Number.NEGATIVE_INFINITY;
-    /** Steady time of the latest call that the member answered as a follower in the leader's term. */
-    public followedAt = Number.NEGATIVE_INFINITY;
-    /** Notified when there is something to send. */
+    /** Latest heartbeat round acknowledged by the member. */
+    public acknowledgedRound = 0n;
+    /** Monotonic time of the last response. */
+    public lastResponseAt = Number.NEGATIVE_INFINITY;
+    /** Monotonic time at which the last request acknowledged in the leader's term was sent. */
+    public lastConfirmedAt = Number.NEGATIVE_INFINITY;
+    /** Notified when there are entries or a heartbeat to send. */
     public readonly wake = new Notifier();
     private nextIndex: bigint;
 
@@ -45,20 +45,20 @@
         this.nextIndex = state.log.lastIndex + 1n;
     }
 
-    /** Sends what the member lacks, or a heartbeat, for as long as the leader leads and the member is one. */
+    /** Sends missing entries and heartbeats until the leadership ends or the member is removed. */
     public async run(): Promise<void> {
         const { heartbeatMs, electionMs } = this.state.options;
         let failures = 0;
         while (this.leader.active) {
-            const member = memberOf(this.state.membership, this.id);
+            const member = findMember(this.state.membership, this.id);
             if (member === undefined) {
                 return;
             }
-            const { round } = this.leader;
+            const { heartbeatRound: round } = this.leader;
             try {
-                const req = this.request();
+                const req = this.createRequest();
                 const sentAt = steadyNow();
-                this.take(await this.peers.connect(member.url).append(req, electionMs), round, sentAt);
+                this.handleResponse(await this.peers.connect(member.url).append(req, electionMs), round, sentAt);
                 failures = 0;
             }
             catch (err) {
@@ -66,7 +66,7 @@
                 this.state.events.warn("append.failed", { member: member.url, error: messageOf(err) });
             }
             if (failures > 0) {
-                // Not cut short by a wake: a member that is gone must not be called at every append.
+                // Ignores `wake`, so that an unreachable member is not called on every append.
                 await sleep(Math.min(maxBackoffMs, heartbeatMs * 2 ** (failures - 1)));
             }
             else if (!this.isBehind()) {
@@ -76,11 +76,11 @@
     }
 
     private isBehind(): boolean {
-        return this.nextIndex <= this.state.log.lastIndex || this.round < this.leader.round;
+        return this.nextIndex <= this.state.log.lastIndex || this.acknowledgedRound < this.leader.heartbeatRound;
     }
 
-    /** The next entries, or the snapshot where they were compacted away. */
-    private request(): AppendRequest {
+    /** Request with the next entries, or with the snapshot if they have been compacted away. */
+    private createRequest(): AppendRequest {
         const { state } = this;
         const { log } = state;
         const snapshot = this.nextIndex < log.firstIndex ? log.snapshot : undefined;
@@ -102,15 +102,15 @@
         });
     }
 
-    private take(res: AppendResponse, round: bigint, sentAt: number): void {
+    private handleResponse(res: AppendResponse, round: bigint, sentAt: number): void {
         if (res.term > this.leader.term) {
-            void this.state.follow(res.term, "", "");
-            this.leader.answered();
+            void this.state.becomeFollower(res.term, "", "");
+            this.leader.onResponse();
             return;
         }
-        this.heardAt = steadyNow();
-        this.followedAt = sentAt;
-        this.round = round;
+        this.lastResponseAt = steadyNow();
+        this.lastConfirmedAt = sentAt;
+        this.acknowledgedRound = round;
         if (res.accepted) {
             this.matchIndex = res.matchIndex > this.matchIndex ? res.matchIndex : this.matchIndex;
             this.nextIndex = this.matchIndex + 1n;
@@ -118,6 +118,6 @@
         else {
             this.nextIndex = res.matchIndex + 1n;
         }
-        this.leader.answered();
+        this.leader.onResponse();
     }
 }
--- a/packages/consensus/src/services.ts
+++ b/packages/consensus/src/services.ts
@@ -1,4 +1,4 @@
-/** The RPCs by which other replicas reach this one. */
+/** RPC service for requests from other replicas. */
 import { type ServiceImpl } from "@connectrpc/connect";
 import { type ConsensusService } from "./gen/winchpath/consensus/v1/consensus_pb.js";
 import { toConnectError } from "./peers.js";
@@ -6,11 +6,11 @@
 
 const readTimeoutMs = 2000;
 
-/** `current` gives the replica of the moment: one whose disk has failed is opened anew. */
+/** `current` returns the running replica, which changes when it is reopened after a storage failure. */
 export function consensusService(current: () => Replica): ServiceImpl<typeof ConsensusService> {
     return {
-        vote: req => answer(current().follower.vote(req)),
-        append: req => answer(current().follower.append(req)),
+        vote: req => convertErrors(current().follower.vote(req)),
+        append: req => convertErrors(current().follower.append(req)),
         probe: () => {
             const { state } = current();
             return {
@@ -26,23 +26,23 @@
         },
         join: async req => {
             const replica = current();
-            await answer(replica.join(req.member!));
+            await convertErrors(replica.join(req.member!));
             return { group: replica.state.group };
         },
-        propose: req => answer(current().proposeHere(req.command)),
+        propose: req => convertErrors(current().proposeHere(req.command)),
         readIndex: async () => {
             const replica = current();
-            const index = await answer(replica.readIndex(readTimeoutMs));
+            const index = await convertErrors(replica.readIndex(readTimeoutMs));
             return { index, term: replica.state.term };
         },
         elect: req => {
-            current().elect(req.term);
+            current().campaign(req.term);
             return {};
         },
     };
 }
 
-async function answer<T>(work: Promise<T>): Promise<T> {
+async function convertErrors<T>(work: Promise<T>): Promise<T> {
     try {
         return await work;
     }
--- a/packages/consensus/src/states.ts
+++ b/packages/consensus/src/states.ts
@@ -1,4 +1,4 @@
-/** What all tasks of one replica share. */
+/** State shared by all tasks of a replica. */
 import { create } from "@bufbuild/protobuf";
 import { type EventLog, Failure, FailureCode, Notifier, steadyNow } from "@winchpath/core";
 import { type Timeline } from "@winchpath/timeline";
@@ -9,28 +9,28 @@
     MembershipSchema,
 } from "./gen/winchpath/consensus/v1/consensus_pb.js";
 import { Log } from "./logs.js";
-import { memberOf } from "./members.js";
-import { recordOf } from "./records.js";
+import { findMember } from "./members.js";
+import { createRecord } from "./records.js";
 import { type LogStore, type StoredState } from "./stores.js";
 
 export type Role = "follower" | "candidate" | "leader";
 
-/** Times and sizes of the control group. Times in milliseconds. */
+/** Options of the control group. */
 export interface ConsensusOptions {
     readonly heartbeatMs: number;
-    /** A follower that hears nothing for this long, or up to twice as long, stands for election. */
+    /** Election timeout in milliseconds, to which a random delay is added. */
     readonly electionMs: number;
-    /** Entries between two snapshots. */
+    /** Number of entries between snapshots. */
     readonly snapshotEvery: number;
-    /** Entries kept behind a snapshot for slow followers. */
+    /** Number of entries before a snapshot that are retained for slow followers. */
     readonly trailing: number;
-    /** Voters that the group grows to; undefined where every replica with a disk may vote. */
+    /** Maximum number of voters; undefined for no limit. */
     readonly maxVoters: number | undefined;
-    /** A voter that is silent for this long may be replaced by a learner that has caught up. */
-    readonly replaceAfterMs: number;
-    /** A learner that is silent for this long is dropped; it joins anew when it comes back. */
-    readonly forgetAfterMs: number;
-    /** Whether this replica may take part in forming a first group. */
+    /** Time without a response after which a voter may be replaced by a caught-up learner, in milliseconds. */
+    readonly replaceVoterAfterMs: number;
+    /** Time without a response after which a learner is removed, in milliseconds; it may join again. */
+    readonly removeLearnerAfterMs: number;
+    /** Whether this replica may form a new group. */
     readonly mayForm: boolean;
 }
 
@@ -40,21 +40,21 @@
     snapshotEvery: 2000,
     trailing: 500,
     maxVoters: undefined,
-    replaceAfterMs: 1500,
-    forgetAfterMs: 30_000,
+    replaceVoterAfterMs: 1500,
+    removeLearnerAfterMs: 30_000,
     mayForm: true,
 };
 
-/** Who a replica is. */
+/** Host name and address of a replica. */
 export interface ReplicaIdentity {
     readonly host: string;
-    /** Base URL of its listener for the system's own processes. */
+    /** Base URL of its RPC server for other processes of the system. */
     readonly url: string;
 }
 
 /**
- * State of the replica. Memory is changed and the record is given to the store
- * in one step; answers wait for the store. So the store's order is that of memory.
+ * Each change updates memory and enqueues its record in the store synchronously, so both have the
+ * same order. Responses wait until the store has synced the record.
  */
 export class ReplicaState {
     public readonly log: Log;
@@ -64,12 +64,12 @@
     public role: Role = "follower";
     public leaderId = "";
     public leaderUrl = "";
-    /** Steady time at which a leader or a candidate was last heard. */
+    /** Monotonic time of the last append request or granted vote. */
     public lastHeard = Number.NEGATIVE_INFINITY;
     public commitIndex: bigint;
     public appliedIndex: bigint;
-    /** Set once the store has failed: the process must stop. */
-    public fatal: Error | undefined;
+    /** Set once the store has failed or was closed; the replica must be stopped. */
+    public fatalError: Error | undefined;
     private currentTerm: bigint;
     private currentVote: string;
 
@@ -98,7 +98,7 @@
         return this.currentVote;
     }
 
-    /** The newest membership in the log, committed or not. */
+    /** The latest membership in the log, committed or not. */
     public get membership(): Membership | undefined {
         return this.log.membershipUpTo(this.log.lastIndex)?.membership;
     }
@@ -108,23 +108,23 @@
     }
 
     public get isVoter(): boolean {
-        return memberOf(this.membership, this.memberId)?.voter ?? false;
+        return findMember(this.membership, this.memberId)?.voter ?? false;
     }
 
-    /** Whether a leader was heard from so lately that an election would only disturb. */
-    public get hearsLeader(): boolean {
+    /** Whether the replica leads, or has heard a leader within the election timeout. */
+    public get hasRecentLeader(): boolean {
         return this.role === "leader" || steadyNow() - this.lastHeard < this.options.electionMs;
     }
 
-    /** Takes on a term and a vote; settles once they are synced. */
+    /** Sets the current term and vote; resolves once they are synced. */
     public setVote(term: bigint, votedFor: string): Promise<void> {
         this.currentTerm = term;
         this.currentVote = votedFor;
-        return this.persist([recordOf({ case: "hardState", value: create(HardStateSchema, { term, votedFor }) })]);
+        return this.persist([createRecord({ case: "hardState", value: create(HardStateSchema, { term, votedFor }) })]);
     }
 
-    /** Follows whoever leads `term`; settles once a newer term is synced. */
-    public follow(term: bigint, leaderId: string, leaderUrl: string): Promise<void> {
+    /** Becomes a follower in `term`; resolves once a newer term is synced. */
+    public becomeFollower(term: bigint, leaderId: string, leaderUrl: string): Promise<void> {
         const changed = term > this.term || this.role !== "follower" || this.leaderId !== leaderId;
         const synced = term > this.term ? this.setVote(term, "") : Promise.resolve();
         this.role = "follower";
@@ -137,41 +137,41 @@
         return synced;
     }
 
-    /** Adds entries to memory and store; settles once they are synced. */
+    /** Appends entries in memory and in the store; resolves once they are synced. */
     public append(entries: readonly Entry[]): Promise<void> {
         entries.forEach(entry => this.log.append(entry));
-        return this.persist(entries.map(entry => recordOf({ case: "entry", value: entry })));
+        return this.persist(entries.map(entry => createRecord({ case: "entry", value: entry })));
     }
 
     public truncateFrom(index: bigint): void {
         this.log.truncateFrom(index);
-        void this.persist([recordOf({ case: "truncateFrom", value: index })]);
+        void this.persist([createRecord({ case: "truncateFrom", value: index })]);
     }
 
-    /** Writes the whole state anew, after the log was compacted or reset. */
+    /** Rewrites the store after the log was compacted or reset. */
     public rewrite(): Promise<void> {
-        return this.guard(this.store.rewrite({
+        return this.handleStoreFailure(this.store.rewrite({
             memberId: this.memberId,
             hardState: create(HardStateSchema, { term: this.term, votedFor: this.votedFor }),
             snapshot: this.log.snapshot,
-            entries: this.log.all(),
+            entries: this.log.retainedEntries(),
         }));
     }
 
-    /** Membership as of the applied state, for a snapshot. */
+    /** Membership as of the applied index, for a snapshot. */
     public appliedMembership(): Membership {
         return this.log.membershipUpTo(this.appliedIndex)?.membership ?? create(MembershipSchema);
     }
 
     private persist(records: Parameters<LogStore["append"]>[0]): Promise<void> {
-        return this.guard(this.store.append(records));
+        return this.handleStoreFailure(this.store.append(records));
     }
 
-    /** A store that fails ends the replica; what waits for the sync is never acknowledged. */
-    private guard(synced: Promise<void>): Promise<void> {
+    /** Reports the first store failure; the returned promise rejects, so nothing unsynced is acknowledged. */
+    private handleStoreFailure(synced: Promise<void>): Promise<void> {
         synced.catch((err: Error) => {
-            if (this.fatal === undefined) {
-                this.fatal = err;
+            if (this.fatalError === undefined) {
+                this.fatalError = err;
                 if (!(err instanceof Failure && err.code === FailureCode.stopping)) {
                     this.onFatal(err);
                 }
--- a/packages/consensus/src/stores.ts
+++ b/packages/consensus/src/stores.ts
@@ -1,4 +1,4 @@
-/** Where a replica keeps its identity, vote and log. */
+/** Persistent storage of a replica's identity, vote and log. */
 import {
     type Entry,
     type HardState,
@@ -6,24 +6,24 @@
     type Snapshot,
 } from "./gen/winchpath/consensus/v1/consensus_pb.js";
 
-/** Everything that a store holds. */
+/** Contents of a store. */
 export interface StoredState {
     readonly memberId: string;
     readonly hardState: HardState;
     readonly snapshot: Snapshot | undefined;
-    /** In order of index, without gaps. */
+    /** In index order, without gaps. */
     readonly entries: readonly Entry[];
 }
 
-/** Keeps records in the order in which they are given. */
+/** Stores records in the order of the calls. */
 export interface LogStore {
-    /** Whether what was appended outlives the process; only then may the replica vote. */
+    /** Whether records survive a restart; only then may the replica vote. */
     readonly durable: boolean;
-    /** Reads what is there; a new identity is made where there is nothing. */
+    /** Reads the stored state; creates a new identity if the store is empty. */
     open(): Promise<StoredState>;
-    /** Settles once these records, and all given before, are synced. An empty list only waits. */
+    /** Resolves once these and all earlier records are synced. An empty list waits for earlier records only. */
     append(records: readonly LogRecord[]): Promise<void>;
-    /** Replaces everything by `state`, in turn with the appends. */
+    /** Replaces the contents with `state`, in order with appends. */
     rewrite(state: StoredState): Promise<void>;
     close(): Promise<void>;
 }
--- a/packages/consensus/src/tests/faults.test.ts
+++ b/packages/consensus/src/tests/faults.test.ts
@@ -1,7 +1,7 @@
 import { expect } from "earl";
 import fc from "fast-check";
 import { describe, it } from "node:test";
-import { Group } from "./groups.js";
+import { TestGroup } from "./groups.js";
 
 const names = ["a", "b", "c"];
 const seed = 20261202;
@@ -13,19 +13,19 @@
     | { readonly kind: "heal"; }
     | { readonly kind: "propose"; readonly name: string; readonly count: number; };
 
-const name = fc.constantFrom(...names);
+const anyName = fc.constantFrom(...names);
 const fault: fc.Arbitrary<Fault> = fc.oneof(
-    fc.record({ kind: fc.constant("crash" as const), name }),
-    fc.record({ kind: fc.constant("restart" as const), name }),
-    fc.record({ kind: fc.constant("isolate" as const), name }),
+    fc.record({ kind: fc.constant("crash" as const), name: anyName }),
+    fc.record({ kind: fc.constant("restart" as const), name: anyName }),
+    fc.record({ kind: fc.constant("isolate" as const), name: anyName }),
     fc.record({ kind: fc.constant("heal" as const) }),
-    fc.record({ kind: fc.constant("propose" as const), name, count: fc.integer({ min: 1, max: 30 }) }),
+    fc.record({ kind: fc.constant("propose" as const), name: anyName, count: fc.integer({ min: 1, max: 30 }) }),
 );
 
-/** Applies faults; gives what was acknowledged, in the order of the acknowledgements. */
-async function applyFaults(group: Group, faults: readonly Fault[]): Promise<string[]> {
+/** Applies faults and returns the acknowledged commands. */
+async function applyFaults(group: TestGroup, faults: readonly Fault[]): Promise<string[]> {
     const acknowledged: string[] = [];
-    let number = 0;
+    let nextCommand = 0;
     for (const step of faults) {
         switch (step.kind) {
             case "crash":
@@ -44,7 +44,7 @@
                 break;
             case "propose":
                 await Promise.all(Array.from({ length: step.count }, async () => {
-                    const command = String(number++);
+                    const command = String(nextCommand++);
                     await group.nodes.get(step.name)?.replica.propose(Buffer.from(command), 150)
                         .then(() => acknowledged.push(command), () => undefined);
                 }));
@@ -54,25 +54,25 @@
     return acknowledged;
 }
 
-describe("the control group against a naive list, under random faults", () => {
-    it(`never loses what it acknowledged, and all replicas agree (seed ${seed})`, async () => {
+describe("control group under random faults", () => {
+    it(`keeps all acknowledged commands and the same log on all replicas (seed ${seed})`, async () => {
         await fc.assert(
             fc.asyncProperty(fc.array(fault, { minLength: 5, maxLength: 14 }), async faults => {
-                const group = await Group.start(names);
+                const group = await TestGroup.start(names);
                 try {
                     const acknowledged = await applyFaults(group, faults);
                     group.heal();
-                    await Promise.all(names.filter(node => !group.nodes.has(node)).map(node => group.startNode(node)));
+                    await Promise.all(names.filter(name => !group.nodes.has(name)).map(name => group.startNode(name)));
                     await group.propose("a", "last");
-                    await group.eventually(
-                        "all to apply the last command",
+                    await group.waitFor(
+                        "last command on all nodes",
                         () =>
-                            names.every(node => group.nodes.get(node)!.machine.commands.includes("last")) || undefined,
+                            names.every(name => group.nodes.get(name)!.machine.commands.includes("last")) || undefined,
                     );
-                    const lists = names.map(node => group.nodes.get(node)!.machine.commands);
+                    const lists = names.map(name => group.nodes.get(name)!.machine.commands);
                     lists.forEach(list => expect(list).toEqual(lists[0]));
-                    const kept = new Set(lists[0]);
-                    expect(acknowledged.filter(command => !kept.has(command))).toEqual([]);
+                    const applied = new Set(lists[0]);
+                    expect(acknowledged.filter(command => !applied.has(command))).toEqual([]);
                 }
                 finally {
                     await group.stop();
--- a/packages/consensus/src/tests/files.test.ts
+++ b/packages/consensus/src/tests/files.test.ts
@@ -6,7 +6,7 @@
 import { join } from "node:path";
 import { afterEach, beforeEach, describe, it } from "node:test";
 import { EntrySchema, HardStateSchema } from "../gen/winchpath/consensus/v1/consensus_pb.js";
-import { FileLogStore, recordOf, SystemDisk } from "../index.js";
+import { createRecord, FileLogStore, SystemDisk } from "../index.js";
 
 class CountingDisk extends SystemDisk {
     public syncs = 0;
@@ -37,7 +37,7 @@
 }
 
 function entryRecord(index: number) {
-    return recordOf({ case: "entry", value: entry(index) });
+    return createRecord({ case: "entry", value: entry(index) });
 }
 
 describe("FileLogStore", () => {
@@ -49,7 +49,7 @@
     });
     afterEach(() => rm(folder, { recursive: true }));
 
-    async function written(count: number): Promise<void> {
+    async function writeEntries(count: number): Promise<void> {
         const store = new FileLogStore(folder);
         await store.open();
         for (let index = 1; index <= count; index++) {
@@ -58,60 +58,60 @@
         await store.close();
     }
 
-    async function indexesRead(): Promise<number[]> {
+    async function readIndexes(): Promise<number[]> {
         const store = new FileLogStore(folder);
         const state = await store.open();
         await store.close();
-        return state.entries.map(read => Number(read.index));
+        return state.entries.map(stored => Number(stored.index));
     }
 
-    it("keeps its identity and what was synced", async () => {
+    it("restores its identity and synced records", async () => {
         const first = new FileLogStore(folder);
         const { memberId } = await first.open();
         await first.append([
             entryRecord(1),
-            recordOf({ case: "hardState", value: create(HardStateSchema, { term: 7n }) }),
+            createRecord({ case: "hardState", value: create(HardStateSchema, { term: 7n }) }),
         ]);
         await first.close();
         const second = new FileLogStore(folder);
-        const again = await second.open();
+        const restored = await second.open();
         await second.close();
-        expect(again.memberId).toEqual(memberId);
-        expect(again.hardState.term).toEqual(7n);
-        expect(again.entries.length).toEqual(1);
+        expect(restored.memberId).toEqual(memberId);
+        expect(restored.hardState.term).toEqual(7n);
+        expect(restored.entries.length).toEqual(1);
     });
 
-    it("cuts a tail that was torn anywhere", async () => {
-        await written(3);
-        const whole = await readFile(path);
-        await writeFile(path, whole);
-        const lastStart = whole.lastIndexOf("WPR1");
-        for (const length of [lastStart + 1, lastStart + 9, lastStart + 20, whole.length - 1]) {
-            await writeFile(path, whole.subarray(0, length));
-            expect(await indexesRead()).toEqual([1, 2]);
+    it("truncates a record that was written partially", async () => {
+        await writeEntries(3);
+        const complete = await readFile(path);
+        await writeFile(path, complete);
+        const lastStart = complete.lastIndexOf("WPR1");
+        for (const length of [lastStart + 1, lastStart + 9, lastStart + 20, complete.length - 1]) {
+            await writeFile(path, complete.subarray(0, length));
+            expect(await readIndexes()).toEqual([1, 2]);
         }
     });
 
-    it("goes on after a cut tail", async () => {
-        await written(2);
+    it("appends after a truncated tail", async () => {
+        await writeEntries(2);
         await appendFile(path, "WPR1 and then the power went");
         const store = new FileLogStore(folder);
         await store.open();
         await store.append([entryRecord(3)]);
         await store.close();
-        expect(await indexesRead()).toEqual([1, 2, 3]);
+        expect(await readIndexes()).toEqual([1, 2, 3]);
     });
 
-    it("refuses a bad record in the middle", async () => {
-        await written(3);
+    it("rejects a file with an invalid record followed by valid ones", async () => {
+        await writeEntries(3);
         const bytes = await readFile(path);
-        const second = bytes.indexOf("WPR1", bytes.indexOf("xxxxx"));
-        bytes[second + 30] ^= 1;
+        const secondRecord = bytes.indexOf("WPR1", bytes.indexOf("xxxxx"));
+        bytes[secondRecord + 30] ^= 1;
         await writeFile(path, bytes);
-        await expect(indexesRead()).toBeRejectedWith(Failure, /bad record at byte/);
+        await expect(readIndexes()).toBeRejectedWith(Failure, /bad record at byte/);
     });
 
-    it("shares one sync between records that arrive together", async () => {
+    it("batches concurrent appends into one sync", async () => {
         const disk = new CountingDisk();
         const store = new FileLogStore(folder, disk);
         await store.open();
@@ -121,17 +121,17 @@
         await store.close();
     });
 
-    it("refuses records that come while it closes, and keeps those that came before", async () => {
+    it("rejects appends after close, and writes those made before", async () => {
         const store = new FileLogStore(folder);
         await store.open();
         const before = store.append([entryRecord(1)]);
         const closed = store.close();
         await expect(store.append([entryRecord(2)])).toBeRejectedWith(Failure, /the log is closed/);
         await Promise.all([before, closed]);
-        expect(await indexesRead()).toEqual([1]);
+        expect(await readIndexes()).toEqual([1]);
     });
 
-    it("acknowledges nothing any more after a failed sync", async () => {
+    it("rejects all appends after a failed sync", async () => {
         const disk = new FailingDisk();
         const store = new FileLogStore(folder, disk);
         await store.open();
--- a/packages/consensus/src/tests/groups.ts
+++ b/packages/consensus/src/tests/groups.ts
@@ -1,4 +1,4 @@
-/** A control group in one process, over a network that tests cut. */
+/** A control group within one process, with simulated crashes and network partitions. */
 import { create } from "@bufbuild/protobuf";
 import { Deferred, Failure, FailureCode, sleep } from "@winchpath/core";
 import { Timeline } from "@winchpath/timeline";
@@ -21,7 +21,7 @@
     SystemDisk,
 } from "../index.js";
 
-/** Keeps every command; the naive version of a replicated state. */
+/** A state machine that records every applied command. */
 export class ListMachine implements StateMachine {
     public commands: string[] = [];
 
@@ -39,10 +39,10 @@
     }
 }
 
-/** A disk that loses at a crash what was written and not synced. */
-class LosingDisk extends SystemDisk {
-    private lost = false;
-    private held: Deferred<void> | undefined;
+/** A disk that loses unsynced writes in a crash. */
+class CrashableDisk extends SystemDisk {
+    private crashed = false;
+    private syncGate: Deferred<void> | undefined;
     private unsynced: Buffer[] = [];
 
     public override async write(_file: FileHandle, bytes: Buffer): Promise<void> {
@@ -50,33 +50,33 @@
     }
 
     public override async sync(file: FileHandle): Promise<void> {
-        await this.held?.promise;
+        await this.syncGate?.promise;
         const bytes = Buffer.concat(this.unsynced.splice(0));
-        if (this.lost) {
+        if (this.crashed) {
             throw Failure.of(FailureCode.storage, "the host has crashed");
         }
         await super.write(file, bytes);
     }
 
-    /** Syncs end only after `release`. */
-    public hold(): void {
-        this.held = new Deferred();
+    /** Blocks syncs until {@link unblockSyncs}. */
+    public blockSyncs(): void {
+        this.syncGate = new Deferred();
     }
 
-    public release(): void {
-        this.held?.resolve();
-        this.held = undefined;
+    public unblockSyncs(): void {
+        this.syncGate?.resolve();
+        this.syncGate = undefined;
     }
 
     public crash(): void {
-        this.lost = true;
-        this.release();
+        this.crashed = true;
+        this.unblockSyncs();
     }
 }
 
-export interface Node {
+export interface TestNode {
     readonly name: string;
-    readonly disk: LosingDisk;
+    readonly disk: CrashableDisk;
     readonly replica: Replica;
     readonly machine: ListMachine;
 }
@@ -87,17 +87,17 @@
     electionMs: 60,
     snapshotEvery: 40,
     trailing: 5,
-    replaceAfterMs: 100,
-    forgetAfterMs: 500,
+    replaceVoterAfterMs: 100,
+    removeLearnerAfterMs: 500,
 };
 
-export class Group {
-    public readonly nodes = new Map<string, Node>();
-    /** Hosts without a disk that only introduce others to each other. */
-    private readonly relays = new Map<string, ConsensusRelay>();
+export class TestGroup {
+    public readonly nodes = new Map<string, TestNode>();
+    /** Hosts without a disk that only provide peer discovery. */
+    private readonly discoveryHosts = new Map<string, ConsensusRelay>();
     public readonly seeds: string[];
-    /** Links that are cut, "from>to". */
-    private readonly cuts = new Set<string>();
+    /** Cut links, each as "from>to". */
+    private readonly cutLinks = new Set<string>();
 
     private constructor(
         private readonly folder: string,
@@ -110,44 +110,44 @@
     public static async start(
         names: readonly string[],
         overrides: Partial<ConsensusOptions> = {},
-    ): Promise<Group> {
-        const group = new Group(await mkdtemp(join(tmpdir(), "winchpath-group-")), names, overrides);
+    ): Promise<TestGroup> {
+        const group = new TestGroup(await mkdtemp(join(tmpdir(), "winchpath-group-")), names, overrides);
         await Promise.all(names.map(name => group.startNode(name)));
         return group;
     }
 
-    /** Starts nodes that are told of other hosts as seeds, of which `relays` have no disk. */
-    public static async startBehind(
+    /** Starts nodes with the given seeds, of which `discoveryHosts` have no disk. */
+    public static async startWithSeeds(
         seeds: readonly string[],
-        relays: readonly string[],
+        discoveryHosts: readonly string[],
         names: readonly string[],
         mayForm = true,
-    ): Promise<Group> {
-        const group = new Group(await mkdtemp(join(tmpdir(), "winchpath-group-")), seeds, {});
-        relays.forEach(relay => group.replaceRelay(relay, mayForm));
+    ): Promise<TestGroup> {
+        const group = new TestGroup(await mkdtemp(join(tmpdir(), "winchpath-group-")), seeds, {});
+        discoveryHosts.forEach(host => group.replaceDiscoveryHost(host, mayForm));
         await Promise.all(names.map(name => group.startNode(name)));
         return group;
     }
 
-    /** Starts a relay that knows nothing yet. */
-    public replaceRelay(host: string, mayForm = false): void {
-        const known = { host, leaderUrl: () => "", memberUrls: () => [], mayForm: () => mayForm };
-        this.relays.set(host, new ConsensusRelay(known));
+    /** Starts a discovery host without prior state. */
+    public replaceDiscoveryHost(host: string, mayForm = false): void {
+        const context = { host, leaderUrl: () => "", memberUrls: () => [], mayForm: () => mayForm };
+        this.discoveryHosts.set(host, new ConsensusRelay(context));
     }
 
-    public relay(name: string): ConsensusRelay | undefined {
-        return this.relays.get(name);
+    public discoveryHost(name: string): ConsensusRelay | undefined {
+        return this.discoveryHosts.get(name);
     }
 
-    public async startNode(name: string, store?: LogStore): Promise<Node> {
+    public async startNode(name: string, store?: LogStore): Promise<TestNode> {
         const machine = new ListMachine();
         const url = `mem://${name}`;
-        const disk = new LosingDisk();
+        const disk = new CrashableDisk();
         const replica = await Replica.open({
             identity: { host: name, url },
             store: store ?? new FileLogStore(this.folderOf(name), disk),
             machine,
-            peers: new CuttablePeers(this, name),
+            peers: new PartitionablePeers(this, name),
             seeds: () => this.seeds,
             timeline: new Timeline({ process: name, host: name, dataCentre: "d" }),
             options: { ...options, ...this.overrides },
@@ -159,7 +159,7 @@
         return node;
     }
 
-    public startLearner(name: string): Promise<Node> {
+    public startLearner(name: string): Promise<TestNode> {
         return this.startNode(name, new MemoryLogStore());
     }
 
@@ -174,32 +174,32 @@
         await node?.replica.stop();
     }
 
-    public async wipe(name: string): Promise<void> {
+    public async deleteData(name: string): Promise<void> {
         await rm(this.folderOf(name), { recursive: true, force: true });
     }
 
-    public cut(from: string, to: string): void {
-        this.cuts.add(`${from}>${to}`);
+    public cutLink(from: string, to: string): void {
+        this.cutLinks.add(`${from}>${to}`);
     }
 
-    /** Cuts a node off from all others, both ways. */
+    /** Cuts all links between a node and the others, in both directions. */
     public isolate(name: string): void {
-        const others = new Set([...this.seeds.map(seed => seed.slice("mem://".length)), ...this.nodes.keys()]);
-        others.delete(name);
-        others.forEach(other => {
-            this.cut(name, other);
-            this.cut(other, name);
+        const otherNames = new Set([...this.seeds.map(seed => seed.slice("mem://".length)), ...this.nodes.keys()]);
+        otherNames.delete(name);
+        otherNames.forEach(other => {
+            this.cutLink(name, other);
+            this.cutLink(other, name);
         });
     }
 
     public heal(): void {
-        this.cuts.clear();
+        this.cutLinks.clear();
     }
 
-    public reach(from: string, to: string): Node {
+    public reachableNode(from: string, to: string): TestNode {
         const node = this.nodes.get(to);
-        if (node === undefined || (from !== to && this.cuts.has(`${from}>${to}`))) {
-            throw Failure.of(FailureCode.unreachable, `${from} does not reach ${to}`);
+        if (node === undefined || (from !== to && this.cutLinks.has(`${from}>${to}`))) {
+            throw Failure.of(FailureCode.unreachable, `${from} cannot reach ${to}`);
         }
         return node;
     }
@@ -208,9 +208,9 @@
         await this.nodes.get(name)!.replica.propose(Buffer.from(command), timeoutMs);
     }
 
-    /** Waits until one node leads, and gives it. */
-    public async leader(among?: readonly string[]): Promise<Node> {
-        return this.eventually(
+    /** Waits for a leader, optionally one of the given nodes, and returns it. */
+    public async waitForLeader(among?: readonly string[]): Promise<TestNode> {
+        return this.waitFor(
             "a leader",
             () =>
                 [...this.nodes.values()].find(node =>
@@ -219,20 +219,20 @@
         );
     }
 
-    /** Waits for `find` to give something, looking again whenever any node's state changes. */
-    public async eventually<T>(what: string, find: () => T | undefined, timeoutMs = 10_000): Promise<T> {
+    /** Waits until `find` returns a value; checks again whenever the state of a node changes. */
+    public async waitFor<T>(what: string, find: () => T | undefined, timeoutMs = 10_000): Promise<T> {
         const deadline = Date.now() + timeoutMs;
         for (;;) {
             const found = find();
             if (found !== undefined) {
                 return found;
             }
-            const left = deadline - Date.now();
-            if (left <= 0) {
+            const remainingMs = deadline - Date.now();
+            if (remainingMs <= 0) {
                 throw Failure.of(FailureCode.timeout, `no ${what} within ${timeoutMs} ms`);
             }
-            const changes = [...this.nodes.values()].map(node => node.replica.changed.wait(Math.min(left, 50)));
-            await Promise.race([...changes, sleep(Math.min(left, 50))]);
+            const changes = [...this.nodes.values()].map(node => node.replica.changed.wait(Math.min(remainingMs, 50)));
+            await Promise.race([...changes, sleep(Math.min(remainingMs, 50))]);
         }
     }
 
@@ -242,25 +242,25 @@
     }
 }
 
-/** Calls that fail on a cut link, before the call or on the way back. */
-class CuttablePeers implements PeerConnector {
-    public constructor(private readonly group: Group, private readonly from: string) {}
+/** Peers whose calls fail if the link in either direction is cut. */
+class PartitionablePeers implements PeerConnector {
+    public constructor(private readonly group: TestGroup, private readonly from: string) {}
 
     public connect(url: string): Peer {
         const to = url.slice("mem://".length);
-        const call = async <T>(work: (replica: Replica) => Promise<T> | T): Promise<T> => {
+        const call = async <T>(operation: (replica: Replica) => Promise<T> | T): Promise<T> => {
             await new Promise(resolve => setImmediate(resolve));
-            const answer = await work(this.group.reach(this.from, to).replica);
-            this.group.reach(to, this.from);
-            return answer;
+            const response = await operation(this.group.reachableNode(this.from, to).replica);
+            this.group.reachableNode(to, this.from);
+            return response;
         };
         return {
             vote: req => call(replica => replica.follower.vote(req)),
             append: req => call(replica => replica.follower.append(req)),
-            probe: async (_timeoutMs, asker) => {
-                const relay = this.group.relay(to);
-                if (relay !== undefined) {
-                    return create(ProbeResponseSchema, relay.answer(create(ProbeRequestSchema, { ...asker })));
+            probe: async (_timeoutMs, sender) => {
+                const host = this.group.discoveryHost(to);
+                if (host !== undefined) {
+                    return create(ProbeResponseSchema, host.handleProbe(create(ProbeRequestSchema, { ...sender })));
                 }
                 return call(({ state }) =>
                     create(ProbeResponseSchema, {
@@ -275,7 +275,7 @@
             join: member => call(replica => replica.join(member)),
             propose: command => call(replica => replica.proposeHere(command)),
             readIndex: async timeoutMs => ({ index: await call(replica => replica.readIndex(timeoutMs)), term: 0n }),
-            elect: term => call(replica => replica.elect(term)),
+            elect: term => call(replica => replica.campaign(term)),
         };
     }
 }
--- a/packages/consensus/src/tests/keepers.test.ts
+++ b/packages/consensus/src/tests/keepers.test.ts
@@ -8,7 +8,7 @@
 import { FileLogStore, type PeerConnector, ReplicaKeeper, SystemDisk } from "../index.js";
 import { ListMachine } from "./groups.js";
 
-/** A disk that refuses every write while it is full. */
+/** A disk that rejects all writes while it is full. */
 class FillableDisk extends SystemDisk {
     public full = false;
 
@@ -21,65 +21,65 @@
 }
 
 const url = "mem://a";
-const longMs = 10_000;
-const shortMs = 200;
+const longTimeoutMs = 10_000;
+const shortTimeoutMs = 200;
 
 describe("ReplicaKeeper", () => {
     const stopping = new AbortController();
     let folder: string;
     let disk: FillableDisk;
     let machine: ListMachine;
-    let keeper: ReplicaKeeper;
-    let running: Promise<void>;
+    let supervisor: ReplicaKeeper;
+    let supervision: Promise<void>;
 
     beforeEach(async () => {
         folder = await mkdtemp(join(tmpdir(), "winchpath-keeper-"));
         disk = new FillableDisk();
-        keeper = new ReplicaKeeper({
+        supervisor = new ReplicaKeeper({
             identity: { host: "a", url },
             store: () => new FileLogStore(folder, disk),
             machine: () => machine = new ListMachine(),
-            peers: onlyItself(() => keeper),
+            peers: loopbackPeers(() => supervisor),
             seeds: [url],
             timeline: new Timeline({ process: "a", host: "a", dataCentre: "d" }),
             options: { heartbeatMs: 10, electionMs: 60 },
             log: silentLog,
         });
-        running = keeper.run(stopping.signal);
-        await until(() => keeper.current !== undefined);
+        supervision = supervisor.run(stopping.signal);
+        await until(() => supervisor.current !== undefined);
     });
 
     afterEach(async () => {
         stopping.abort();
-        await running;
+        await supervision;
         await rm(folder, { recursive: true, force: true });
     });
 
     async function until(condition: () => boolean): Promise<void> {
         while (!condition()) {
-            await keeper.changed.wait(shortMs);
+            await supervisor.changed.wait(shortTimeoutMs);
         }
     }
 
-    it("acknowledges nothing while its disk is full, and goes on by itself once there is room", async () => {
-        await keeper.require().propose(Buffer.from("before"), longMs);
+    it("acknowledges no commands while its disk is full, and recovers once space is available", async () => {
+        await supervisor.require().propose(Buffer.from("before"), longTimeoutMs);
         disk.full = true;
-        await expect(keeper.require().propose(Buffer.from("unsynced"), shortMs)).toBeRejected();
-        await until(() => keeper.current === undefined);
-        expect(() => keeper.require()).toThrow();
+        await expect(supervisor.require().propose(Buffer.from("unsynced"), shortTimeoutMs)).toBeRejected();
+        await until(() => supervisor.current === undefined);
+        expect(() => supervisor.require()).toThrow();
         disk.full = false;
-        await until(() => keeper.current !== undefined);
-        await keeper.require().propose(Buffer.from("after"), longMs);
+        await until(() => supervisor.current !== undefined);
+        await supervisor.require().propose(Buffer.from("after"), longTimeoutMs);
         expect(machine.commands).toEqual(["before", "after"]);
     });
 });
 
-/** A group of one, which reaches itself only. */
-function onlyItself(keeper: () => ReplicaKeeper): PeerConnector {
+/** Peers of a single-member group, which only probes itself. */
+function loopbackPeers(supervisor: () => ReplicaKeeper): PeerConnector {
     return {
         connect: () => ({
             probe: async () => {
-                const { state } = keeper().require();
+                const { state } = supervisor().require();
                 const { memberId, group, leaderUrl, identity } = state;
                 return {
                     $typeName: "winchpath.consensus.v1.ProbeResponse",
@@ -94,16 +94,16 @@
                     founder: "",
                 };
             },
-            vote: unused,
-            append: unused,
-            join: unused,
-            propose: unused,
-            readIndex: unused,
-            elect: unused,
+            vote: unexpectedCall,
+            append: unexpectedCall,
+            join: unexpectedCall,
+            propose: unexpectedCall,
+            readIndex: unexpectedCall,
+            elect: unexpectedCall,
         }),
     };
 }
 
-function unused(): never {
-    throw new Error("a group of one calls nobody");
+function unexpectedCall(): never {
+    throw new Error("unexpected call in a single-member group");
 }
--- a/packages/consensus/src/tests/machines.test.ts
+++ b/packages/consensus/src/tests/machines.test.ts
@@ -14,7 +14,7 @@
     }]);
 
     for (const malformed of ["", "{\"slice\":\"li"]) {
-        it(`goes on behind a command that is ${malformed === "" ? "empty" : "cut short"}`, () => {
+        it(`continues after a command that is ${malformed === "" ? "empty" : "truncated"}`, () => {
             machine.apply(Buffer.from(malformed), context);
             const before = applied.length;
             machine.apply(encodeCommand("list", "next"), context);
--- a/packages/consensus/src/tests/replacements.test.ts
+++ b/packages/consensus/src/tests/replacements.test.ts
@@ -1,88 +1,88 @@
 import { expect } from "earl";
 import { afterEach, describe, it } from "node:test";
-import { Group } from "./groups.js";
+import { TestGroup } from "./groups.js";
 
 const seeds = ["a", "b", "c"];
 
-describe("a group of five voters that grew out of three seeds", () => {
-    let group: Group;
+describe("replacement of voters in a group of five with three seeds", () => {
+    let group: TestGroup;
     afterEach(() => group.stop());
 
-    function voters(): string[] {
+    function currentVoters(): string[] {
         const leader = [...group.nodes.values()].find(node => node.replica.leading !== undefined);
         return leader?.replica.memberStatus().filter(member => member.voter).map(member => member.host).sort() ?? [];
     }
 
-    async function votersAre(expected: readonly string[]): Promise<void> {
-        await group.eventually(
-            `voters ${expected}, at last ${voters()}`,
-            () => voters().join() === expected.join() || undefined,
+    async function waitForVoters(expected: readonly string[]): Promise<void> {
+        await group.waitFor(
+            `voters ${expected} (initially ${currentVoters()})`,
+            () => currentVoters().join() === expected.join() || undefined,
         );
     }
 
     async function startFive(): Promise<void> {
-        group = await Group.start(seeds, { maxVoters: 5 });
+        group = await TestGroup.start(seeds, { maxVoters: 5 });
         await Promise.all(["d", "e"].map(name => group.startNode(name)));
-        await votersAre(["a", "b", "c", "d", "e"]);
+        await waitForVoters(["a", "b", "c", "d", "e"]);
     }
 
-    it("lets all five vote", async () => {
+    it("promotes all five members to voters", async () => {
         await startFive();
     });
 
-    it("takes no sixth voter while all five are heard", async () => {
+    it("adds no sixth voter while all five are responsive", async () => {
         await startFive();
         await group.startNode("f");
         await group.propose("f", "from a learner");
-        await group.eventually("f has caught up", () => group.nodes.get("f")!.machine.commands.length || undefined);
-        expect(voters()).toEqual(["a", "b", "c", "d", "e"]);
+        await group.waitFor("entries at f", () => group.nodes.get("f")!.machine.commands.length || undefined);
+        expect(currentVoters()).toEqual(["a", "b", "c", "d", "e"]);
     });
 
-    it("puts an empty host at another address in the place of one that is gone for good", async () => {
+    it("replaces a failed voter with an empty host at another address", async () => {
         await startFive();
         await group.propose("a", "before");
         await group.crash("e");
         await group.startNode("f");
-        await votersAre(["a", "b", "c", "d", "f"]);
+        await waitForVoters(["a", "b", "c", "d", "f"]);
         expect(group.nodes.get("f")!.machine.commands).toEqual(["before"]);
     });
 
-    it("exchanges all three seeds one after the other, and goes on", async () => {
+    it("stays available while all three seeds are replaced one by one", async () => {
         await startFive();
-        for (const [gone, coming] of [["a", "f"], ["b", "g"], ["c", "h"]]) {
-            await group.crash(gone);
-            group.seeds.splice(group.seeds.indexOf(`mem://${gone}`), 1, "mem://d");
-            await group.startNode(coming);
-            await group.eventually(`${coming} votes`, () => voters().includes(coming) || undefined);
+        for (const [removed, added] of [["a", "f"], ["b", "g"], ["c", "h"]]) {
+            await group.crash(removed);
+            group.seeds.splice(group.seeds.indexOf(`mem://${removed}`), 1, "mem://d");
+            await group.startNode(added);
+            await group.waitFor(`voter ${added}`, () => currentVoters().includes(added) || undefined);
         }
-        await votersAre(["d", "e", "f", "g", "h"]);
+        await waitForVoters(["d", "e", "f", "g", "h"]);
         await group.propose("h", "after");
     });
 
-    it("keeps what was acknowledged when two disks are lost right after", async () => {
+    it("keeps acknowledged commands after the loss of two disks", async () => {
         await startFive();
         await group.propose("a", "acknowledged");
         await Promise.all(["a", "b"].map(name => group.crash(name)));
-        await Promise.all(["a", "b"].map(name => group.wipe(name)));
+        await Promise.all(["a", "b"].map(name => group.deleteData(name)));
         await Promise.all(["a", "b"].map(name => group.startNode(name)));
-        await votersAre(["a", "b", "c", "d", "e"]);
+        await waitForVoters(["a", "b", "c", "d", "e"]);
         await group.propose("a", "after");
         expect(group.nodes.get("a")!.machine.commands).toEqual(["acknowledged", "after"]);
     });
 
-    it("lets a member that was replaced while it was cut off come back as a learner", async () => {
+    it("readmits a voter that was replaced during a partition as a learner", async () => {
         await startFive();
-        const leader = await group.leader();
-        const cut = ["d", "e"].find(name => name !== leader.name)!;
-        group.isolate(cut);
+        const leader = await group.waitForLeader();
+        const partitioned = ["d", "e"].find(name => name !== leader.name)!;
+        group.isolate(partitioned);
         await group.startNode("f");
-        await group.eventually("f votes", () => voters().includes("f") || undefined);
+        await group.waitFor("voter f", () => currentVoters().includes("f") || undefined);
         group.heal();
         await group.propose("f", "while away");
-        await group.eventually(
-            "the cut-off member has it",
-            () => group.nodes.get(cut)!.machine.commands.includes("while away") || undefined,
+        await group.waitFor(
+            "entry at the partitioned member",
+            () => group.nodes.get(partitioned)!.machine.commands.includes("while away") || undefined,
         );
-        expect(voters()).not.toInclude(cut);
+        expect(currentVoters()).not.toInclude(partitioned);
     });
 });
--- a/packages/rpc/src/clients.ts
+++ b/packages/rpc/src/clients.ts
@@ -1,32 +1,32 @@
-/** Connections to the system's other processes, one HTTP/2 session a peer. */
+/** RPC clients for other processes of the system, with one HTTP/2 session per peer. */
 import { type DescService } from "@bufbuild/protobuf";
 import { type Client, createClient, type Transport } from "@connectrpc/connect";
 import { createConnectTransport, Http2SessionManager } from "@connectrpc/connect-node";
 import { clientInterceptor, type RpcOptions } from "./interceptors.js";
 
-/** A dead session is noticed by a ping after this time without traffic. */
+/** Time without traffic after which a ping checks the session, in milliseconds. */
 const pingIntervalMs = 2000;
 const pingTimeoutMs = 1500;
 const idleTimeoutMs = 60_000;
 
-interface Peer {
+interface PeerConnection {
     readonly sessions: Http2SessionManager;
     readonly transport: Transport;
     readonly clients: Map<string, unknown>;
 }
 
-/** Clients of other processes, by URL. */
+/** Access to RPC clients by URL. */
 export type PeerClients = Pick<RpcClients, "client" | "forget">;
 
-/** Opens clients by URL, and keeps one session for each URL. */
+/** Creates and caches RPC clients, with one session per URL. */
 export class RpcClients {
-    private readonly peers = new Map<string, Peer>();
+    private readonly peers = new Map<string, PeerConnection>();
 
     public constructor(private readonly options: RpcOptions) {}
 
-    /** The client of one service at one process. */
+    /** Returns the client for a service of the process at `url`. */
     public client<S extends DescService>(service: S, url: string): Client<S> {
-        const peer = this.peer(url);
+        const peer = this.connection(url);
         let client = peer.clients.get(service.typeName) as Client<S> | undefined;
         if (client === undefined) {
             client = createClient(service, peer.transport);
@@ -35,18 +35,18 @@
         return client;
     }
 
-    /** Drops the session of one process, that has gone for good. */
+    /** Aborts the session with one process; the next call opens another. */
     public forget(url: string): void {
         this.peers.get(url)?.sessions.abort();
         this.peers.delete(url);
     }
 
-    /** Drops all sessions. */
+    /** Aborts all sessions. */
     public close(): void {
         [...this.peers.keys()].forEach(url => this.forget(url));
     }
 
-    private peer(url: string): Peer {
+    private connection(url: string): PeerConnection {
         let peer = this.peers.get(url);
         if (peer === undefined) {
             const sessions = new Http2SessionManager(url, {
--- a/packages/rpc/src/interceptors.ts
+++ b/packages/rpc/src/interceptors.ts
@@ -1,4 +1,4 @@
-/** What every RPC between processes carries: the shared key, the logical clock and the message's length. */
+/** Interceptors that add and check the shared key, the logical clock and the message length of every RPC. */
 import { type DescMessage, type Message, toBinary } from "@bufbuild/protobuf";
 import { Code, ConnectError, type Interceptor, type UnaryRequest } from "@connectrpc/connect";
 import { type Timeline } from "@winchpath/timeline";
@@ -7,19 +7,19 @@
 const keyHeader = "authorization";
 const clockHeader = "winchpath-clock";
 /**
- * Bytes of the request's message. A caller that gives up while it writes ends
- * its stream, and what is missing does not show: an empty message decodes well.
+ * Length of the request message in bytes. Detects messages truncated by an aborted call, which may decode
+ * without an error.
  */
 const lengthHeader = "winchpath-length";
 
-/** What both sides of an RPC need. */
+/** Options of clients and servers. */
 export interface RpcOptions {
-    /** Shared key of all the system's processes; undefined only where settings say so. */
+    /** Key shared by all processes of the system; undefined if authentication is disabled. */
     readonly key: string | undefined;
     readonly timeline: Timeline;
 }
 
-/** Adds the key and the clock to what is sent, and takes in the clock of what comes back. */
+/** Adds key, clock and message length to requests, and observes the clock of responses. */
 export function clientInterceptor(options: RpcOptions): Interceptor {
     return next => async req => {
         if (options.key !== undefined) {
@@ -27,23 +27,23 @@
         }
         req.header.set(clockHeader, String(options.timeline.tick()));
         if (!req.stream) {
-            req.header.set(lengthHeader, String(lengthOf(req)));
+            req.header.set(lengthHeader, String(messageLength(req)));
         }
         const res = await next(req);
-        observe(options.timeline, res.header.get(clockHeader) ?? undefined);
+        observeClock(options.timeline, res.header.get(clockHeader) ?? undefined);
         return res;
     };
 }
 
-/** Refuses callers without the key, and keeps the clock. */
+/** Rejects requests without the key or with an incomplete message, and exchanges the clock. */
 export function serverInterceptor(options: RpcOptions): Interceptor {
     return next => async req => {
         if (options.key !== undefined && !sameSecret(req.header.get(keyHeader) ?? undefined, `Bearer ${options.key}`)) {
             throw new ConnectError("the shared key is missing or wrong", Code.Unauthenticated);
         }
-        observe(options.timeline, req.header.get(clockHeader) ?? undefined);
-        if (!req.stream && req.header.get(lengthHeader) !== String(lengthOf(req))) {
-            throw new ConnectError("the request's message did not arrive whole", Code.DataLoss);
+        observeClock(options.timeline, req.header.get(clockHeader) ?? undefined);
+        if (!req.stream && req.header.get(lengthHeader) !== String(messageLength(req))) {
+            throw new ConnectError("the request message is incomplete", Code.DataLoss);
         }
         const res = await next(req);
         res.header.set(clockHeader, String(options.timeline.tick()));
@@ -51,17 +51,17 @@
     };
 }
 
-/** Compares without telling by its time how much of the secret was right. */
+/** Compares secrets in constant time. */
 export function sameSecret(given: string | undefined, expected: string): boolean {
     const digest = (text: string) => createHash("sha256").update(text).digest();
     return timingSafeEqual(digest(given ?? ""), digest(expected));
 }
 
-function lengthOf(req: UnaryRequest): number {
+function messageLength(req: UnaryRequest): number {
     return toBinary<DescMessage>(req.method.input, req.message as Message).length;
 }
 
-function observe(timeline: Timeline, header: string | undefined): void {
+function observeClock(timeline: Timeline, header: string | undefined): void {
     if (header !== undefined && /^\d{1,18}$/.test(header)) {
         timeline.observe(BigInt(header));
     }
--- a/packages/rpc/src/servers.ts
+++ b/packages/rpc/src/servers.ts
@@ -1,4 +1,4 @@
-/** The listener for the system's own processes: Connect over HTTP/2. */
+/** RPC server for other processes of the system: Connect over HTTP/2. */
 import { type ConnectRouter } from "@connectrpc/connect";
 import { connectNodeAdapter } from "@connectrpc/connect-node";
 import { Failure, FailureCode, listenBacklog } from "@winchpath/core";
@@ -7,16 +7,16 @@
 import { type AddressInfo } from "node:net";
 import { type RpcOptions, serverInterceptor } from "./interceptors.js";
 
-/** Largest message, in bytes: a snapshot of the control state has to fit. */
+/** Maximum message size in bytes; a snapshot of the control state must fit. */
 const maxMessageBytes = 64 * 1024 * 1024;
 
-/** Where to listen; port 0 takes a free one. */
+/** Address to listen on; port 0 selects a free port. */
 export interface ListenAddress {
     readonly host: string;
     readonly port: number;
 }
 
-/** A listener that is up. */
+/** A listening RPC server. */
 export class RpcServer {
     private readonly sessions = new Set<ServerHttp2Session>();
 
@@ -27,7 +27,6 @@
         });
     }
 
-    /** Starts listening. */
     public static async listen(
         address: ListenAddress,
         routes: (router: ConnectRouter) => void,
@@ -47,12 +46,12 @@
         return rpcServer;
     }
 
-    /** The port that was taken. */
+    /** The port in use. */
     public get port(): number {
         return (this.server.address() as AddressInfo).port;
     }
 
-    /** Stops listening, lets running calls finish for `graceMs`, then cuts what is left. */
+    /** Stops listening, waits up to `graceMs` for running calls, then destroys the remaining sessions. */
     public async close(graceMs: number): Promise<void> {
         const closed = once(this.server, "close");
         this.server.close();
--- a/packages/rpc/src/tests/rpc.test.ts
+++ b/packages/rpc/src/tests/rpc.test.ts
@@ -28,14 +28,14 @@
     }
 
     for (const wrong of [undefined, "another key of that length"]) {
-        it(`refuses a caller with ${wrong ?? "no key"}`, async () => {
+        it(`rejects a caller with ${wrong ?? "no key"}`, async () => {
             const timeline = new Timeline({ process: "client", host: "c", dataCentre: "d" });
             const code = await call(wrong, timeline).then(() => undefined, (err: ConnectError) => err.code);
             expect(code).toEqual(Code.Unauthenticated);
         });
     }
 
-    it("knows the library's error at the end of an idle session, and takes no other for it", () => {
+    it("classifies only the GOAWAY error of an idle session as a closed session", () => {
         expect(isEndOfSession(new ConnectError("received GOAWAY without any open streams", Code.Canceled))).toEqual(
             true,
         );
@@ -44,7 +44,7 @@
     });
 
     for (const [what, body] of [["nothing", ""], ["a part", "\n"]]) {
-        it(`refuses a request of whose message ${what} has arrived`, async () => {
+        it(`rejects a request of whose message ${what} has arrived`, async () => {
             clients = new RpcClients({ key, timeline: serverTimeline });
             const session = connect(`http://127.0.0.1:${server.port}`);
             const stream = session.request({
@@ -63,7 +63,7 @@
         });
     }
 
-    it("carries the logical clock both ways", async () => {
+    it("propagates the logical clock in both directions", async () => {
         const timeline = new Timeline({ process: "client", host: "c", dataCentre: "d" });
         timeline.observe(1000n);
         await call(key, timeline);
