--- a/packages/consensus/src/elections.ts
+++ b/packages/consensus/src/elections.ts
@@ -54,7 +54,7 @@
 
     private async campaign(isTransfer: boolean): Promise<void> {
         const { state } = this;
-        if (!isTransfer && !await this.winsVotes(state.term + 1n, true, false)) {
+        if (!isTransfer && !await this.winsMajority(state.term + 1n, true, false)) {
             return;
         }
         if (!isTransfer && state.hasRecentLeader) {
@@ -66,7 +66,7 @@
         state.leaderUrl = "";
         state.timeline.record("leader.election", { detail: `term=${term}` });
         await state.setVote(term, state.memberId);
-        const won = await this.winsVotes(term, false, isTransfer);
+        const won = await this.winsMajority(term, false, isTransfer);
         if (won && state.term === term && state.role === "candidate") {
             this.onElected();
         }
@@ -76,7 +76,7 @@
     }
 
     /** Whether a majority grants its vote, or would grant it (`preVote`), to this replica. */
-    private async winsVotes(term: bigint, preVote: boolean, isTransfer: boolean): Promise<boolean> {
+    private async winsMajority(term: bigint, preVote: boolean, isTransfer: boolean): Promise<boolean> {
         const { state } = this;
         const voters = votersOf(state.membership);
         const others = voters.filter(voter => voter.id !== state.memberId);
--- a/packages/consensus/src/files.ts
+++ b/packages/consensus/src/files.ts
@@ -55,7 +55,7 @@
         await rm(join(this.folder, temporaryFileName), { force: true });
         const path = join(this.folder, logFileName);
         const bytes = await readExisting(path);
-        const { records, validBytes: soundBytes } = decodeRecords(bytes, path);
+        const { records, validBytes } = decodeRecords(bytes, path);
         const state = replay(records);
         if (state === undefined) {
             const fresh = createState();
@@ -63,8 +63,8 @@
             return fresh;
         }
         this.file = await open(path, "a");
-        if (soundBytes < bytes.length) {
-            await this.file.truncate(soundBytes);
+        if (validBytes < bytes.length) {
+            await this.file.truncate(validBytes);
             await this.file.sync();
         }
         return state;
@@ -89,10 +89,10 @@
         if (this.failure !== undefined) {
             return Promise.reject(this.failure);
         }
-        const done = new Deferred<void>();
-        this.queue.push({ bytes, replace, completion: done });
+        const completion = new Deferred<void>();
+        this.queue.push({ bytes, replace, completion });
         this.writeLoop ??= this.writeAll();
-        return done.promise;
+        return completion.promise;
     }
 
     private async writeAll(): Promise<void> {
