--- a/packages/placement/src/controllers.ts
+++ b/packages/placement/src/controllers.ts
@@ -1,4 +1,4 @@
-/** The leader's task: compares what is declared with what is there, and orders the difference. */
+/** Reconciliation loop of the leader: sends engines the orders that bring them to the declared state. */
 import { create } from "@bufbuild/protobuf";
 import { type Logger, logger, messageOf, Notifier } from "@winchpath/core";
 import { type Catalogue } from "@winchpath/declarations";
@@ -15,21 +15,21 @@
 } from "@winchpath/upstream";
 import { type DemandBook } from "./demands.js";
 import { type Ledger } from "./ledgers.js";
-import { LoadPace } from "./paces.js";
+import { LoadRateLimiter } from "./paces.js";
 import { reconcile } from "./reconciliations.js";
 import { type FencingNumber, type LedgerCommand, type LedgerResult } from "./schemas.js";
 import { acceleratorViews, type Action, type Placer } from "./views.js";
 
-const roundMs = 200;
+const roundIntervalMs = 200;
 const orderTimeoutMs = 3000;
-/** Pause before a barrier is sent to an upstream that refused or lost an order. */
-const doubtMs = 500;
+/** Delay before a barrier is sent to an upstream that rejected or did not confirm an order. */
+const barrierDelayMs = 500;
 
-/** The control log, as this slice needs it. */
+/** The part of the control log that placement needs. */
 export interface LedgerLog {
-    /** The term that this process leads, once it has applied all that came before; undefined where it does not. */
+    /** The term in which this process leads, once it has applied all earlier entries; undefined otherwise. */
     readonly leadingTerm: number | undefined;
-    /** Commits a command as the leader. */
+    /** Commits a command as leader. */
     propose(command: LedgerCommand): Promise<LedgerResult>;
 }
 
@@ -38,7 +38,7 @@
     send(url: string, order: OrderRequest, timeoutMs: number): Promise<OrderOutcome>;
 }
 
-export interface ControllerParts {
+export interface ControllerDependencies {
     readonly log: LedgerLog;
     readonly ledger: Ledger;
     readonly registrar: Registrar;
@@ -53,30 +53,30 @@
 }
 
 export class PlacementController {
-    /** Notify it when declarations, upstreams or leadership have changed. */
+    /** Notify this when declarations, upstreams or leadership change. */
     public readonly wake = new Notifier();
-    private readonly pace: LoadPace;
+    private readonly loadLimiter: LoadRateLimiter;
     private readonly log: Logger = logger("placement");
-    /** Upstreams with an order whose delivery is in doubt, and the time from which on a new barrier may settle it. */
-    private readonly doubtful = new Map<string, number>();
-    /** Ends of each upstream's queue of orders. */
-    private readonly queues = new Map<string, Promise<void>>();
+    /** Upstreams with an unconfirmed order, and the Date.now() from which a barrier may be sent to them. */
+    private readonly barrierDueAt = new Map<string, number>();
+    /** Tail of each upstream's order queue. */
+    private readonly orderQueues = new Map<string, Promise<void>>();
 
-    public constructor(private readonly parts: ControllerParts) {
-        this.pace = new LoadPace(parts.storeRate, parts.storeConcurrency);
+    public constructor(private readonly dependencies: ControllerDependencies) {
+        this.loadLimiter = new LoadRateLimiter(dependencies.storeRate, dependencies.storeConcurrency);
     }
 
-    /** Runs until the signal is aborted; does nothing while another process leads. */
+    /** Runs until the signal is aborted; idle while another process leads. */
     public async run(signal: AbortSignal): Promise<void> {
         while (!signal.aborted) {
-            await this.wake.wait(roundMs);
-            const term = this.parts.log.leadingTerm;
+            await this.wake.wait(roundIntervalMs);
+            const term = this.dependencies.log.leadingTerm;
             if (term === undefined || signal.aborted) {
-                this.doubtful.clear();
+                this.barrierDueAt.clear();
                 continue;
             }
             try {
-                await this.round(term);
+                await this.runRound(term);
             }
             catch (err) {
                 this.log("round failed", { error: messageOf(err) });
@@ -84,15 +84,15 @@
         }
     }
 
-    private async round(term: number): Promise<void> {
-        const engines = this.parts.registrar.live().filter(({ report }) => report.service === "engine");
-        await this.registerNew(engines, term);
-        await this.settle(engines, term);
-        await this.order(engines, term);
+    private async runRound(term: number): Promise<void> {
+        const engines = this.dependencies.registrar.live().filter(({ report }) => report.service === "engine");
+        await this.registerUpstreams(engines, term);
+        await this.recordFindings(engines, term);
+        await this.issueOrders(engines, term);
     }
 
-    /** A new incarnation, a new term or a doubt: the upstream is registered anew and has to pass a barrier. */
-    private async registerNew(engines: readonly LiveUpstream[], term: number): Promise<void> {
+    /** Registers upstreams after a new incarnation, a new term or an unconfirmed order, and sends them a barrier. */
+    private async registerUpstreams(engines: readonly LiveUpstream[], term: number): Promise<void> {
         const due = engines.filter(engine => this.needsBarrier(engine, term));
         if (due.length === 0) {
             return;
@@ -107,8 +107,8 @@
                 speed,
             })),
         }));
-        due.forEach(({ report }) => this.doubtful.delete(report.upstream));
-        const result = await this.parts.log.propose({ op: "register", upstreams });
+        due.forEach(({ report }) => this.barrierDueAt.delete(report.upstream));
+        const result = await this.dependencies.log.propose({ op: "register", upstreams });
         if (result.tag === "ordered") {
             due.forEach(engine => {
                 this.send(engine, result.fence, { kind: OrderKind.BARRIER, accelerator: "", item: "", bytes: 0 });
@@ -117,21 +117,23 @@
     }
 
     private needsBarrier({ report }: LiveUpstream, term: number): boolean {
-        const known = this.parts.ledger.upstream(report.upstream);
+        const known = this.dependencies.ledger.upstream(report.upstream);
         return known?.incarnation !== report.incarnation || known.fence.term < term
-            || (this.doubtful.get(report.upstream) ?? Number.POSITIVE_INFINITY) <= Date.now();
+            || (this.barrierDueAt.get(report.upstream) ?? Number.POSITIVE_INFINITY) <= Date.now();
     }
 
-    /** Writes down what the engines' reports have shown. */
-    private async settle(engines: readonly LiveUpstream[], term: number): Promise<void> {
+    /** Commits the differences between the ledger and the engines' reports. */
+    private async recordFindings(engines: readonly LiveUpstream[], term: number): Promise<void> {
         const settled = engines.filter(engine => this.hasPassedBarrier(engine, term));
-        const found = settled.map(engine => reconcile(this.parts.ledger.heldBy(engine.report.upstream), engine.report));
+        const found = settled.map(engine =>
+            reconcile(this.dependencies.ledger.holdingsOf(engine.report.upstream), engine.report)
+        );
         const settlements = found.flatMap(each => each.settlements);
         const adoptions = found.flatMap(each => each.adoptions);
         if (settlements.length + adoptions.length > 0) {
-            await this.parts.log.propose({ op: "settle", settlements, adoptions });
+            await this.dependencies.log.propose({ op: "settle", settlements, adoptions });
             settlements.forEach(({ upstream, accelerator, item, found: state }) => {
-                this.parts.timeline.record("ledger.settled", {
+                this.dependencies.timeline.record("ledger.settled", {
                     resource: item,
                     detail: `${state} on ${upstream}/${accelerator}`,
                 });
@@ -140,7 +142,7 @@
     }
 
     private hasPassedBarrier({ report }: LiveUpstream, term: number): boolean {
-        const known = this.parts.ledger.upstream(report.upstream);
+        const known = this.dependencies.ledger.upstream(report.upstream);
         if (known?.incarnation !== report.incarnation || known.fence.term < term || !report.stateKnown) {
             return false;
         }
@@ -148,8 +150,8 @@
         return compareFences(settled, fenceOf(known.fence.term, known.fence.index)) >= 0;
     }
 
-    private async order(engines: readonly LiveUpstream[], term: number): Promise<void> {
-        const { ledger, catalogue, demand, moveCost, placer } = this.parts;
+    private async issueOrders(engines: readonly LiveUpstream[], term: number): Promise<void> {
+        const { ledger, catalogue, demand, moveCost, placer } = this.dependencies;
         const orderable = (engine: LiveUpstream) => this.hasPassedBarrier(engine, term);
         const view = {
             catalogue: catalogue(),
@@ -159,37 +161,40 @@
         };
         for (const action of placer.plan(view)) {
             const engine = engines.find(({ report }) => report.upstream === action.upstream);
-            if (engine === undefined || !orderable(engine) || !this.mayBegin(action)) {
+            if (engine === undefined || !orderable(engine) || !this.isWithinLoadLimits(action)) {
                 continue;
             }
-            await this.carryOut(engine, action);
+            await this.execute(engine, action);
         }
     }
 
-    private mayBegin(action: Action): boolean {
-        const loading = this.parts.ledger.list().filter(holding => holding.state === "loading").length;
-        return action.kind === "unload" || this.pace.take(loading);
+    private isWithinLoadLimits(action: Action): boolean {
+        const loading = this.dependencies.ledger.list().filter(holding => holding.state === "loading").length;
+        return action.kind === "unload" || this.loadLimiter.tryAcquire(loading);
     }
 
-    /** The ledger first, and only then the order. */
-    private async carryOut(engine: LiveUpstream, action: Action): Promise<void> {
+    /** Commits the action to the ledger before sending the order. */
+    private async execute(engine: LiveUpstream, action: Action): Promise<void> {
         const { upstream, accelerator, item, bytes, kind } = action;
         const { incarnation } = engine.report;
         const command: LedgerCommand = kind === "load"
             ? { op: "load", upstream, accelerator, item, bytes, incarnation }
             : { op: "unload", upstream, accelerator, item, incarnation };
-        const result = await this.parts.log.propose(command);
+        const result = await this.dependencies.log.propose(command);
         const detail = `${kind} on ${upstream}/${accelerator}: ${action.reason}`;
         if (result.tag === "refused") {
-            this.parts.timeline.record("ledger.refused", { resource: item, detail: `${detail}; ${result.reason}` });
+            this.dependencies.timeline.record("ledger.refused", {
+                resource: item,
+                detail: `${detail}; ${result.reason}`,
+            });
             return;
         }
-        this.parts.timeline.record("order.decided", { resource: item, detail });
+        this.dependencies.timeline.record("order.decided", { resource: item, detail });
         const order = kind === "load" ? OrderKind.LOAD : OrderKind.UNLOAD;
         this.send(engine, result.fence, { kind: order, accelerator, item, bytes });
     }
 
-    /** Puts an order into its upstream's queue: fencing numbers have to arrive in order. */
+    /** Queues an order; fencing numbers must arrive in order at each upstream. */
     private send(
         engine: LiveUpstream,
         fence: FencingNumber,
@@ -202,24 +207,24 @@
             fence: fenceOf(fence.term, fence.index),
             incarnation,
         });
-        const before = this.queues.get(upstream) ?? Promise.resolve();
-        this.queues.set(upstream, before.then(() => this.deliver(upstream, url, message)));
+        const before = this.orderQueues.get(upstream) ?? Promise.resolve();
+        this.orderQueues.set(upstream, before.then(() => this.deliver(upstream, url, message)));
     }
 
     private async deliver(upstream: string, url: string, order: OrderRequest): Promise<void> {
         try {
-            const outcome = await this.parts.orders.send(url, order, orderTimeoutMs);
+            const outcome = await this.dependencies.orders.send(url, order, orderTimeoutMs);
             if (outcome !== OrderOutcome.TAKEN && outcome !== OrderOutcome.UNCERTAIN) {
-                this.doubt(upstream, OrderOutcome[outcome]);
+                this.markUnconfirmed(upstream, OrderOutcome[outcome]);
             }
         }
         catch (err) {
-            this.doubt(upstream, messageOf(err));
+            this.markUnconfirmed(upstream, messageOf(err));
         }
     }
 
-    private doubt(upstream: string, why: string): void {
-        this.doubtful.set(upstream, Date.now() + doubtMs);
-        this.parts.timeline.record("order.in-doubt", { detail: `${upstream}: ${why}` });
+    private markUnconfirmed(upstream: string, reason: string): void {
+        this.barrierDueAt.set(upstream, Date.now() + barrierDelayMs);
+        this.dependencies.timeline.record("order.in-doubt", { detail: `${upstream}: ${reason}` });
     }
 }
--- a/packages/placement/src/ledgers.ts
+++ b/packages/placement/src/ledgers.ts
@@ -1,4 +1,4 @@
-/** What every accelerator holds or may hold, as replicated state. */
+/** Replicated state machine of what each accelerator holds or may hold. */
 import {
     type FencingNumber,
     type Holding,
@@ -13,7 +13,7 @@
     readonly holdings: Holding[];
 }
 
-/** An upstream, and the fencing number of the barrier that its present incarnation has to pass. */
+/** An upstream and the fencing number of the barrier that its current incarnation must pass. */
 export interface RegisteredUpstream extends LedgerUpstream {
     readonly fence: FencingNumber;
 }
@@ -24,14 +24,14 @@
 }
 
 /**
- * An accelerator's use is the sum of all its holdings, whatever their state. A
- * load that would take it over the accelerator's memory is refused here, at
- * every replica alike, so no leader can order it.
+ * An accelerator's memory use is the sum of all its holdings in any state. Loads
+ * that would exceed its memory are rejected when the command is applied, so no
+ * leader can order them.
  */
 export class Ledger {
     public readonly slice = "ledger";
     private upstreams = new Map<string, RegisteredUpstream>();
-    /** By upstream, then by accelerator and item: most questions are about one upstream. */
+    /** By upstream, then by accelerator and item. */
     private holdings = new Map<string, Map<string, Holding>>();
 
     public upstream(name: string): RegisteredUpstream | undefined {
@@ -46,15 +46,15 @@
         return [...this.holdings.values()].flatMap(held => [...held.values()]);
     }
 
-    /** What one upstream holds or may hold. */
-    public heldBy(upstream: string): Holding[] {
+    /** Returns what one upstream holds or may hold. */
+    public holdingsOf(upstream: string): Holding[] {
         return [...this.holdings.get(upstream)?.values() ?? []];
     }
 
-    /** Bytes of an accelerator that are not spoken for. */
+    /** Unreserved bytes of an accelerator. */
     public freeBytes(upstream: string, accelerator: string): number {
         const known = this.upstreams.get(upstream)?.accelerators.find(({ name }) => name === accelerator);
-        const held = this.heldBy(upstream).filter(holding => holding.accelerator === accelerator);
+        const held = this.holdingsOf(upstream).filter(holding => holding.accelerator === accelerator);
         return (known?.bytes ?? 0) - held.reduce((sum, holding) => sum + holding.bytes, 0);
     }
 
@@ -91,16 +91,16 @@
 
     private applyLoad(load: Extract<LedgerCommand, { op: "load"; }>, fence: FencingNumber): LedgerResult {
         const { upstream, accelerator, item, bytes } = load;
-        const refusal = this.refusalOf(load);
-        if (refusal !== undefined) {
-            return { tag: "refused", reason: refusal };
+        const rejection = this.rejectionReason(load);
+        if (rejection !== undefined) {
+            return { tag: "refused", reason: rejection };
         }
         if (this.find(load) !== undefined) {
-            return { tag: "refused", reason: "it is held there already" };
+            return { tag: "refused", reason: "item is already held on this accelerator" };
         }
         const free = this.freeBytes(upstream, accelerator);
         if (bytes > free) {
-            return { tag: "refused", reason: `${bytes} bytes do not fit the ${free} that are free` };
+            return { tag: "refused", reason: `item needs ${bytes} bytes, but only ${free} are free` };
         }
         this.put({ upstream, accelerator, item, bytes, state: "loading", fence });
         return { tag: "ordered", fence };
@@ -108,16 +108,16 @@
 
     private applyUnload(unload: Extract<LedgerCommand, { op: "unload"; }>, fence: FencingNumber): LedgerResult {
         const held = this.find(unload);
-        const refusal = this.refusalOf(unload);
-        if (refusal !== undefined || held === undefined) {
-            return { tag: "refused", reason: refusal ?? "it is not held there" };
+        const rejection = this.rejectionReason(unload);
+        if (rejection !== undefined || held === undefined) {
+            return { tag: "refused", reason: rejection ?? "item is not held on this accelerator" };
         }
         this.put({ ...held, state: "unloading", fence });
         return { tag: "ordered", fence };
     }
 
-    private find(place: Place): Holding | undefined {
-        return this.holdings.get(place.upstream)?.get(keyOf(place));
+    private find(location: HoldingLocation): Holding | undefined {
+        return this.holdings.get(location.upstream)?.get(holdingKey(location));
     }
 
     private put(holding: Holding): void {
@@ -126,18 +126,22 @@
             held = new Map();
             this.holdings.set(holding.upstream, held);
         }
-        held.set(keyOf(holding), holding);
+        held.set(holdingKey(holding), holding);
     }
 
-    private refusalOf(order: { upstream: string; accelerator: string; incarnation: string; }): string | undefined {
+    private rejectionReason(
+        order: { upstream: string; accelerator: string; incarnation: string; },
+    ): string | undefined {
         const known = this.upstreams.get(order.upstream);
         if (known?.incarnation !== order.incarnation) {
             return "the agent has restarted";
         }
-        return known.accelerators.some(({ name }) => name === order.accelerator) ? undefined : "no such accelerator";
+        return known.accelerators.some(({ name }) => name === order.accelerator)
+            ? undefined
+            : "accelerator does not exist";
     }
 
-    /** A finding about an earlier order says nothing about a later one. */
+    /** Ignores findings that refer to an earlier order than the holding's latest. */
     private applySettlement(settlement: Settlement): void {
         const held = this.find(settlement);
         if (
@@ -147,7 +151,7 @@
             return;
         }
         if (settlement.found === "gone") {
-            this.holdings.get(held.upstream)!.delete(keyOf(held));
+            this.holdings.get(held.upstream)!.delete(holdingKey(held));
         }
         else {
             this.put({ ...held, state: "resident" });
@@ -155,15 +159,14 @@
     }
 }
 
-/** Where an item is held. */
-export interface Place {
+export interface HoldingLocation {
     readonly upstream: string;
     readonly accelerator: string;
     readonly item: string;
 }
 
-function keyOf(place: Place): string {
-    return `${place.accelerator}/${place.item}`;
+function holdingKey(location: HoldingLocation): string {
+    return `${location.accelerator}/${location.item}`;
 }
 
 export function isSettled(fence: FencingNumber, settled: FencingNumber): boolean {
--- a/packages/placement/src/naive.ts
+++ b/packages/placement/src/naive.ts
@@ -1,31 +1,31 @@
-/** Placers to compare with: first fit and worst fit in declared order, anew at each change. */
+/** Baseline placers for benchmarks: first fit and worst fit, recomputed for each plan. */
 import { type Model, unitBytes } from "@winchpath/declarations";
-import { type AcceleratorView, type Action, keyOf, type PlacementView, type Placer } from "./views.js";
+import { acceleratorKey, type AcceleratorView, type Action, type PlacementView, type Placer } from "./views.js";
 
 /**
- * Packs the models in the order of their names, each replica into the first
- * accelerator with room, as if nothing were loaded yet; then unloads what is
- * not part of that packing, and loads what is missing.
+ * Packs all models from scratch in catalogue order, each replica into the first
+ * accelerator with enough memory; then unloads what the packing does not contain
+ * and loads what is missing.
  */
 export class FirstFitPlacer implements Placer {
-    /** With `spread` each replica goes to the emptiest accelerator instead, and there is one for each declared replica. */
+    /** With `spread`, uses worst fit and the declared minimum of replicas. */
     public constructor(private readonly spread = false) {}
 
     public plan(view: PlacementView): Action[] {
         const wanted = this.pack(view);
-        const unloads = view.accelerators.flatMap(each => unloadsOf(each, wanted.get(keyOf(each))!));
-        const loads = view.accelerators.flatMap(each => loadsOf(each, wanted.get(keyOf(each))!));
+        const unloads = view.accelerators.flatMap(each => surplusUnloads(each, wanted.get(acceleratorKey(each))!));
+        const loads = view.accelerators.flatMap(each => missingLoads(each, wanted.get(acceleratorKey(each))!));
         return [...unloads, ...loads];
     }
 
     private pack(view: PlacementView): Map<string, Map<string, number>> {
-        const wanted = new Map(view.accelerators.map(each => [keyOf(each), new Map<string, number>()]));
-        const free = new Map(view.accelerators.map(each => [keyOf(each), each.stays ? each.bytes : 0]));
+        const wanted = new Map(view.accelerators.map(each => [acceleratorKey(each), new Map<string, number>()]));
+        const free = new Map(view.accelerators.map(each => [acceleratorKey(each), each.stays ? each.bytes : 0]));
         for (const model of view.catalogue.models) {
             const replicas = new Set<string>();
             const count = this.spread ? model.minReplicas : wantedReplicas(model, view);
-            for (const each of this.inOrder(view, free)) {
-                const key = keyOf(each);
+            for (const each of this.packingOrder(view, free)) {
+                const key = acceleratorKey(each);
                 if (
                     replicas.size < count && !replicas.has(each.upstream)
                     && unitBytes(model) <= free.get(key)!
@@ -39,22 +39,22 @@
         return wanted;
     }
 
-    private inOrder(view: PlacementView, free: ReadonlyMap<string, number>): readonly AcceleratorView[] {
+    private packingOrder(view: PlacementView, free: ReadonlyMap<string, number>): readonly AcceleratorView[] {
         if (!this.spread) {
             return view.accelerators;
         }
-        return [...view.accelerators].sort((a, b) => free.get(keyOf(b))! - free.get(keyOf(a))!);
+        return [...view.accelerators].sort((a, b) => free.get(acceleratorKey(b))! - free.get(acceleratorKey(a))!);
     }
 }
 
-/** One replica for each replica's worth of demand, as it is now. */
+/** Number of replicas that current demand requires. */
 function wantedReplicas(model: Model, view: PlacementView): number {
     const capacity = view.accelerators[0]?.capacity ?? 1;
     const busy = view.demand.get(model.name)?.busy ?? 0;
     return Math.min(model.maxReplicas, Math.max(model.minReplicas, Math.ceil(busy / capacity)));
 }
 
-function unloadsOf(view: AcceleratorView, wanted: ReadonlyMap<string, number>): Action[] {
+function surplusUnloads(view: AcceleratorView, wanted: ReadonlyMap<string, number>): Action[] {
     const { upstream, accelerator } = view;
     const surplus = [...view.items].filter(([item, held]) => held.state === "resident" && !wanted.has(item));
     return surplus.map(([item, { bytes }]) => ({
@@ -67,7 +67,7 @@
     }));
 }
 
-function loadsOf(view: AcceleratorView, wanted: ReadonlyMap<string, number>): Action[] {
+function missingLoads(view: AcceleratorView, wanted: ReadonlyMap<string, number>): Action[] {
     const { upstream, accelerator } = view;
     const missing = [...wanted].filter(([item, bytes]) => !view.items.has(item) && bytes <= view.free);
     return missing.map(([item, bytes]) => ({
--- a/packages/placement/src/paces.ts
+++ b/packages/placement/src/paces.ts
@@ -1,27 +1,26 @@
-/** The weight store's limits: loads a second, and loads at once. */
+/** Limits loads from the weight store: per second, and concurrently. */
 
-/** Lets loads through as the store allows. */
-export class LoadPace {
+export class LoadRateLimiter {
     private tokens: number;
     private refilledAt = Date.now();
 
-    public constructor(private readonly ratePerSecond: number, private readonly atOnce: number) {
+    public constructor(private readonly ratePerSecond: number, private readonly maxConcurrent: number) {
         this.tokens = this.burst;
     }
 
-    /** Whether one more load may begin now, with `loading` under way; counts it when so. */
-    public take(loading: number): boolean {
+    /** Takes a token if another load may start, given that `loading` loads are running. */
+    public tryAcquire(loading: number): boolean {
         const now = Date.now();
         this.tokens = Math.min(this.burst, this.tokens + (now - this.refilledAt) / 1000 * this.ratePerSecond);
         this.refilledAt = now;
-        if (loading >= this.atOnce || this.tokens < 1) {
+        if (loading >= this.maxConcurrent || this.tokens < 1) {
             return false;
         }
         this.tokens -= 1;
         return true;
     }
 
-    /** The store's rate holds over each second, so no more than a second's worth at once. */
+    /** Bucket size: one second of the configured rate. */
     private get burst(): number {
         return Math.max(1, this.ratePerSecond);
     }
--- a/packages/placement/src/reasons.ts
+++ b/packages/placement/src/reasons.ts
@@ -1,27 +1,29 @@
-/** Why a model has no more replicas than it has. */
+/** Explains why a model has too few replicas. */
 import { formatBytes } from "@winchpath/core";
 import { type Model, unitBytes } from "@winchpath/declarations";
 import { type AcceleratorView } from "./views.js";
 
 export interface PlacementReason {
-    /** Whether it stays so until the declarations or the hardware change. */
+    /** Whether this persists until the declarations or the hardware change. */
     readonly lasting: boolean;
     readonly text: string;
 }
 
-/** The reason, as far as the accelerators tell; `held` is the number of those that hold the model. */
+/** Determines the reason from the accelerators; `held` is the number of accelerators that hold the model. */
 export function placementReason(model: Model, views: readonly AcceleratorView[], held: number): PlacementReason {
-    const need = unitBytes(model);
+    const requiredBytes = unitBytes(model);
     const allowed = views.filter(view => view.stays && (model.dataCentres?.includes(view.dataCentre) ?? true));
     if (allowed.length === 0) {
         return { lasting: false, text: "no live engine in its data centres" };
     }
-    if (!allowed.some(view => view.bytes >= need)) {
-        return { lasting: true, text: `it needs ${formatBytes(need)}, more than any accelerator has` };
+    if (!allowed.some(view => view.bytes >= requiredBytes)) {
+        return { lasting: true, text: `it needs ${formatBytes(requiredBytes)}, more than any accelerator has` };
     }
     const free = Math.max(0, ...allowed.map(view => view.free));
-    if (held === 0 && free < need) {
-        const text = `it needs ${formatBytes(need)}, and no accelerator has more than ${formatBytes(free)} free`;
+    if (held === 0 && free < requiredBytes) {
+        const text = `it needs ${formatBytes(requiredBytes)}, and no accelerator has more than ${
+            formatBytes(free)
+        } free`;
         return { lasting: false, text };
     }
     return { lasting: false, text: held > 0 ? "loading" : "waiting for its turn at the weight store" };
--- a/packages/placement/src/reconciliations.ts
+++ b/packages/placement/src/reconciliations.ts
@@ -1,4 +1,4 @@
-/** Compares the ledger with an engine's own report, taken after every order it speaks of had settled. */
+/** Compares the ledger with an engine's report. */
 import { type ReportRequest } from "@winchpath/upstream";
 import { isSettled } from "./ledgers.js";
 import { type Adoption, type Holding, type Settlement } from "./schemas.js";
@@ -8,14 +8,14 @@
     readonly adoptions: Adoption[];
 }
 
-/** What the report proves. Holdings whose last order has not settled yet are left alone. */
+/** Returns what the report proves; skips holdings whose latest order is not yet settled. */
 export function reconcile(held: readonly Holding[], report: ReportRequest): Findings {
     const settled = { term: Number(report.settled?.term ?? 0n), index: Number(report.settled?.index ?? 0n) };
     const present = new Map(report.residents.map(resident => [`${resident.accelerator}/${resident.item}`, resident]));
     const settlements: Settlement[] = [];
     for (const holding of held) {
         const resident = present.get(`${holding.accelerator}/${holding.item}`);
-        const found = isSettled(holding.fence, settled) ? findingOf(holding, resident?.ready) : undefined;
+        const found = isSettled(holding.fence, settled) ? findingFor(holding, resident?.ready) : undefined;
         if (found !== undefined) {
             const { upstream, accelerator, item, fence } = holding;
             settlements.push({ upstream, accelerator, item, fence, found });
@@ -34,11 +34,11 @@
     };
 }
 
-/** `ready` is undefined where the engine does not hold the item. */
-function findingOf(holding: Holding, ready: boolean | undefined): Settlement["found"] | undefined {
+/** `ready` is undefined if the engine does not hold the item. */
+function findingFor(holding: Holding, ready: boolean | undefined): Settlement["found"] | undefined {
     if (ready === undefined) {
         return "gone";
     }
-    // Present and ready: a load has ended, or an unload never took effect.
+    // Ready: a load has completed, or an unload did not take effect.
     return ready && holding.state !== "resident" ? "resident" : undefined;
 }
--- a/packages/placement/src/rooms.ts
+++ b/packages/placement/src/rooms.ts
@@ -1,109 +1,116 @@
-/** Makes room for a model that fits nowhere: by surplus replicas, or by moving one model on. */
+/** Frees memory for a model that fits nowhere, by unloading surplus replicas or relocating another model. */
 import { type Model, unitBytes } from "@winchpath/declarations";
-import { gainOfReplica, nameOf, type Plan } from "./placers.js";
-import { candidatesFor, choosePlace } from "./places.js";
+import { nameOf, type PlanBuilder, replicaShortfall } from "./placers.js";
+import { candidatesFor, selectAccelerator } from "./places.js";
 import { type AcceleratorView } from "./views.js";
 
-export class RoomMaker {
-    public constructor(private readonly plan: Plan) {}
+export class MemoryReclaimer {
+    public constructor(private readonly plan: PlanBuilder) {}
 
     /**
-     * Orders what frees an accelerator for the model; the load follows in a later
-     * plan, when the memory has been shown to be free. Models are moved on only
-     * for one that is `unreachable`.
+     * Plans actions that free memory for the model; a later plan loads it once the
+     * memory is reported as free. Other models are only relocated for one that is
+     * `unreachable`.
      */
-    public makeRoom(model: Model, unreachable: boolean): void {
-        const need = unitBytes(model);
-        const places = candidatesFor(this.plan, model).filter(each => each.bytes >= need);
-        // Memory that is being freed already may be enough.
-        if (places.some(each => each.free + bytesUnloading(each) >= need)) {
+    public freeMemoryFor(model: Model, unreachable: boolean): void {
+        const requiredBytes = unitBytes(model);
+        const candidates = candidatesFor(this.plan, model).filter(each => each.bytes >= requiredBytes);
+        // Unloads in progress may free enough memory.
+        if (candidates.some(each => each.free + unloadingBytes(each) >= requiredBytes)) {
             return;
         }
-        if (!this.dropEarlierVersion(places, need, model) && !this.dropSurplus(places, need, model) && unreachable) {
-            this.moveOn(places, need);
+        if (
+            !this.unloadEarlierVersion(candidates, requiredBytes, model)
+            && !this.unloadSurplus(candidates, requiredBytes, model) && unreachable
+        ) {
+            this.relocateNeighbour(candidates, requiredBytes);
         }
     }
 
-    /** Unloads earlier versions of the model itself, as long as one of them is ready elsewhere or beside them. */
-    private dropEarlierVersion(places: readonly AcceleratorView[], need: number, model: Model): boolean {
+    /** Unloads earlier versions of the model itself, but never the last one that is ready. */
+    private unloadEarlierVersion(candidates: readonly AcceleratorView[], requiredBytes: number, model: Model): boolean {
         const earlierAt = (each: AcceleratorView) =>
             [...each.items].filter(([id, held]) =>
                 id !== model.id && nameOf(id) === model.name && held.state === "resident" && held.ready
             );
         const total = this.plan.accelerators.reduce((sum, each) => sum + earlierAt(each).length, 0);
-        for (const place of places) {
-            const earlier = earlierAt(place);
-            // Where all of them are here, as after two changes of version in a row, the last one stays.
+        for (const accelerator of candidates) {
+            const earlier = earlierAt(accelerator);
+            // Keeps one if all earlier versions are on this accelerator, as after two quick version changes.
             const dropped = earlier.length === total ? earlier.slice(0, -1) : earlier;
             const freed = dropped.reduce((sum, [, held]) => sum + held.bytes, 0);
-            if (freed > 0 && place.free + bytesUnloading(place) + freed >= need) {
-                dropped.forEach(([id]) => this.plan.unload(place, id, `room for ${model.id}`));
+            if (freed > 0 && accelerator.free + unloadingBytes(accelerator) + freed >= requiredBytes) {
+                dropped.forEach(([id]) => this.plan.unload(accelerator, id, `freeing memory for ${model.id}`));
                 return true;
             }
         }
         return false;
     }
 
-    /** Unloads replicas that are neither the last nor wanted for demand. */
-    private dropSurplus(places: readonly AcceleratorView[], need: number, model: Model): boolean {
-        for (const place of places) {
-            const surplus = this.surplusAt(place, model);
-            let free = place.free + bytesUnloading(place);
+    /** Unloads replicas that are neither the last one nor needed for demand. */
+    private unloadSurplus(candidates: readonly AcceleratorView[], requiredBytes: number, model: Model): boolean {
+        for (const accelerator of candidates) {
+            const surplus = this.surplusModelsAt(accelerator, model);
+            let free = accelerator.free + unloadingBytes(accelerator);
             const chosen = surplus.filter(other => {
-                const wanted = free < need;
-                free += wanted ? this.heldBytes(place, other) : 0;
+                const wanted = free < requiredBytes;
+                free += wanted ? this.heldBytes(accelerator, other) : 0;
                 return wanted;
             });
-            if (free >= need) {
-                chosen.forEach(other => this.unloadUnit(place, other, `room for ${model.name}`));
+            if (free >= requiredBytes) {
+                chosen.forEach(other =>
+                    this.unloadWithAdapters(accelerator, other, `freeing memory for ${model.name}`)
+                );
                 return true;
             }
         }
         return false;
     }
 
-    private surplusAt(place: AcceleratorView, model: Model): Model[] {
+    private surplusModelsAt(accelerator: AcceleratorView, model: Model): Model[] {
         return this.plan.view.catalogue.models.filter(other => {
-            const ready = this.plan.replicasOf(other).filter(replica => this.plan.isWholeAt(other, replica));
+            const ready = this.plan.replicasOf(other).filter(replica => this.plan.isReadyAt(other, replica));
             const needed = Math.max(other.priority > model.priority ? other.minReplicas : 1, 1);
-            const spare = ready.length > needed && ready.some(replica => replica === place);
-            return other !== model && spare && gainOfReplica(this.plan, other) <= -1;
+            const spare = ready.length > needed && ready.some(replica => replica === accelerator);
+            return other !== model && spare && replicaShortfall(this.plan, other) <= -1;
         });
     }
 
-    /** Loads a neighbour elsewhere first; as a surplus replica it is unloaded here once that is ready. */
-    private moveOn(places: readonly AcceleratorView[], need: number): void {
-        for (const place of places) {
-            const neighbours = this.plan.view.catalogue.models.filter(other => this.mayMoveOn(place, other));
+    /** Loads another model elsewhere; once that replica is ready, the one here is surplus and can be unloaded. */
+    private relocateNeighbour(candidates: readonly AcceleratorView[], requiredBytes: number): void {
+        for (const accelerator of candidates) {
+            const neighbours = this.plan.view.catalogue.models.filter(other => this.isRelocatable(accelerator, other));
             for (const other of neighbours.sort((a, b) => unitBytes(a) - unitBytes(b))) {
-                if (place.free + bytesUnloading(place) + this.heldBytes(place, other) < need) {
+                if (
+                    accelerator.free + unloadingBytes(accelerator) + this.heldBytes(accelerator, other) < requiredBytes
+                ) {
                     continue;
                 }
-                const elsewhere = choosePlace(this.plan, other, unitBytes(other));
+                const elsewhere = selectAccelerator(this.plan, other, unitBytes(other));
                 if (elsewhere !== undefined) {
-                    this.plan.loadUnit(elsewhere, other, "moved on to make room");
+                    this.plan.loadWithAdapters(elsewhere, other, "relocated to free memory");
                     return;
                 }
             }
         }
     }
 
-    private mayMoveOn(place: AcceleratorView, other: Model): boolean {
+    private isRelocatable(accelerator: AcceleratorView, other: Model): boolean {
         const replicas = this.plan.replicasOf(other);
-        return replicas.length === 1 && replicas[0] === place && this.plan.isWholeAt(other, place);
+        return replicas.length === 1 && replicas[0] === accelerator && this.plan.isReadyAt(other, accelerator);
     }
 
-    private heldBytes(place: AcceleratorView, model: Model): number {
-        return [model, ...model.adapters].reduce((sum, item) => sum + (place.items.get(item.id)?.bytes ?? 0), 0);
+    private heldBytes(accelerator: AcceleratorView, model: Model): number {
+        return [model, ...model.adapters].reduce((sum, item) => sum + (accelerator.items.get(item.id)?.bytes ?? 0), 0);
     }
 
-    private unloadUnit(place: AcceleratorView, model: Model, reason: string): void {
-        const held = [...model.adapters, model].filter(item => place.items.get(item.id)?.state === "resident");
-        held.forEach(item => this.plan.unload(place, item.id, reason));
+    private unloadWithAdapters(accelerator: AcceleratorView, model: Model, reason: string): void {
+        const held = [...model.adapters, model].filter(item => accelerator.items.get(item.id)?.state === "resident");
+        held.forEach(item => this.plan.unload(accelerator, item.id, reason));
     }
 }
 
-function bytesUnloading(place: AcceleratorView): number {
-    const unloading = [...place.items.values()].filter(held => held.state === "unloading");
+function unloadingBytes(accelerator: AcceleratorView): number {
+    const unloading = [...accelerator.items.values()].filter(held => held.state === "unloading");
     return unloading.reduce((sum, held) => sum + held.bytes, 0);
 }
--- a/packages/placement/src/schemas.ts
+++ b/packages/placement/src/schemas.ts
@@ -1,7 +1,7 @@
-/** The ledger's commands and state. */
+/** Schemas of the ledger's commands and replicated state. */
 import Type, { type Static } from "typebox";
 
-/** Term of the leader and log index of the decision; newer ones are greater. */
+/** Leader's term and log index of a command; increases with each command. */
 export const FencingNumber = Type.Object({ term: Type.Integer(), index: Type.Integer() });
 export type FencingNumber = Static<typeof FencingNumber>;
 
@@ -12,7 +12,7 @@
 });
 export type LedgerAccelerator = Static<typeof LedgerAccelerator>;
 
-/** An upstream with accelerators, under one incarnation of its agent. */
+/** An upstream's accelerators, for one incarnation of its agent. */
 export const LedgerUpstream = Type.Object({
     name: Type.String(),
     incarnation: Type.String(),
@@ -22,8 +22,8 @@
 export type LedgerUpstream = Static<typeof LedgerUpstream>;
 
 /**
- * loading: counted before the order goes out, until the engine is known to hold it or not;
- * resident: held; unloading: still counted, until the engine is known not to hold it.
+ * loading: reserved before the order is sent, until the engine reports the outcome;
+ * resident: held; unloading: reserved until the engine reports that the item is gone.
  */
 export const HoldingState = Type.Union([
     Type.Literal("loading"),
@@ -32,7 +32,7 @@
 ]);
 export type HoldingState = Static<typeof HoldingState>;
 
-const Place = {
+const holdingLocation = {
     upstream: Type.String(),
     accelerator: Type.String(),
     /** "name@version" */
@@ -40,31 +40,31 @@
 };
 
 export const Holding = Type.Object({
-    ...Place,
+    ...holdingLocation,
     bytes: Type.Integer(),
     state: HoldingState,
-    /** Of the last order about it. */
+    /** Fencing number of the latest order for this item. */
     fence: FencingNumber,
 });
 export type Holding = Static<typeof Holding>;
 
-/** What the engine's own report has shown of one holding. */
+/** A holding's state according to the engine's report. */
 export const Settlement = Type.Object({
-    ...Place,
-    /** The order that the finding is about; it counts for no later one. */
+    ...holdingLocation,
+    /** The order to which the finding applies; ignored if a later order exists. */
     fence: FencingNumber,
     found: Type.Union([Type.Literal("resident"), Type.Literal("gone")]),
 });
 export type Settlement = Static<typeof Settlement>;
 
-/** Something that the engine holds, and that the ledger did not know of. */
-export const Adoption = Type.Object({ ...Place, bytes: Type.Integer() });
+/** An item that the engine holds but the ledger does not contain. */
+export const Adoption = Type.Object({ ...holdingLocation, bytes: Type.Integer() });
 export type Adoption = Static<typeof Adoption>;
 
 export const LedgerCommand = Type.Union([
     Type.Object({ op: Type.Literal("register"), upstreams: Type.Array(LedgerUpstream) }),
-    Type.Object({ op: Type.Literal("load"), ...Place, bytes: Type.Integer(), incarnation: Type.String() }),
-    Type.Object({ op: Type.Literal("unload"), ...Place, incarnation: Type.String() }),
+    Type.Object({ op: Type.Literal("load"), ...holdingLocation, bytes: Type.Integer(), incarnation: Type.String() }),
+    Type.Object({ op: Type.Literal("unload"), ...holdingLocation, incarnation: Type.String() }),
     Type.Object({
         op: Type.Literal("settle"),
         settlements: Type.Array(Settlement),
@@ -73,7 +73,7 @@
 ]);
 export type LedgerCommand = Static<typeof LedgerCommand>;
 
-/** Whether an order may go out, and under which fencing number. */
+/** Whether an order may be sent, and with which fencing number. */
 export type LedgerResult =
     | { readonly tag: "ordered"; readonly fence: FencingNumber; }
     | { readonly tag: "refused"; readonly reason: string; };
--- a/packages/placement/src/services.ts
+++ b/packages/placement/src/services.ts
@@ -1,4 +1,4 @@
-/** The RPC by which entries tell the leader of demand, and orders over RPC. */
+/** RPC service for demand reports, and RPC client for orders. */
 import { type ServiceImpl } from "@connectrpc/connect";
 import { type RpcClients } from "@winchpath/rpc";
 import { AgentService, type OrderOutcome, type OrderRequest } from "@winchpath/upstream";
--- a/packages/placement/src/tests/ledgers.test.ts
+++ b/packages/placement/src/tests/ledgers.test.ts
@@ -13,7 +13,7 @@
 
 type Step =
     | { readonly op: "load" | "unload"; readonly item: string; readonly bytes: number; }
-    /** The engine's truth about an item, told late: as of an earlier fence where `stale`. */
+    /** The engine's report on an item; refers to an earlier fencing number if `stale`. */
     | { readonly op: "settle"; readonly item: string; readonly found: "resident" | "gone"; readonly stale: boolean; };
 
 const item = fc.constantFrom("m@1", "n@1", "o@1", "p@1");
@@ -27,29 +27,29 @@
     }),
 );
 
-/** The naive version: what an engine may hold at the most, going by the orders that went out. */
-class NaiveEngine {
+/** Reference model: the most that an engine may hold, given the orders that were sent. */
+class ReferenceEngine {
     private readonly held = new Map<string, number>();
 
-    public ordered(name: string, bytes: number): void {
+    public load(name: string, bytes: number): void {
         this.held.set(name, bytes);
     }
 
-    public gone(name: string): void {
+    public remove(name: string): void {
         this.held.delete(name);
     }
 
-    public get most(): number {
+    public get maxHeldBytes(): number {
         return [...this.held.values()].reduce((sum, bytes) => sum + bytes, 0);
     }
 }
 
 describe("Ledger", () => {
-    it(`never lets out a load that could take an engine over its memory (seed ${seed})`, () => {
+    it(`never orders a load that could exceed the engine's memory (seed ${seed})`, () => {
         fc.assert(
             fc.property(fc.array(step, { maxLength: 60 }), steps => {
                 const ledger = new Ledger();
-                const engine = new NaiveEngine();
+                const engine = new ReferenceEngine();
                 ledger.apply(register("i"), { term: 1, index: 1 });
                 steps.forEach((each, number) => {
                     const context = { term: 1, index: number + 2 };
@@ -57,11 +57,11 @@
                     const holding = ledger.list().find(({ item: held }) => held === each.item);
                     if (each.op === "settle") {
                         const fence = holding?.fence ?? { term: 1, index: 0 };
-                        const told = each.stale ? { ...fence, index: fence.index - 1 } : fence;
-                        const settlement = { ...place, fence: told, found: each.found };
+                        const reportedFence = each.stale ? { ...fence, index: fence.index - 1 } : fence;
+                        const settlement = { ...place, fence: reportedFence, found: each.found };
                         ledger.apply({ op: "settle", settlements: [settlement], adoptions: [] }, context);
                         if (!each.stale && each.found === "gone") {
-                            engine.gone(each.item);
+                            engine.remove(each.item);
                         }
                         return;
                     }
@@ -70,9 +70,9 @@
                         : { op: "unload", ...place, incarnation: "i" };
                     const result = ledger.apply(command, context);
                     if (result.tag === "ordered" && each.op === "load") {
-                        engine.ordered(each.item, each.bytes);
+                        engine.load(each.item, each.bytes);
                     }
-                    expect(engine.most <= capacity).toEqual(true);
+                    expect(engine.maxHeldBytes <= capacity).toEqual(true);
                 });
                 const copy = new Ledger();
                 copy.restore(JSON.parse(JSON.stringify(ledger.snapshot())));
@@ -82,7 +82,7 @@
         );
     });
 
-    it("counts an unload until the engine is known not to hold the item any more", () => {
+    it("reserves memory during an unload until the engine reports the item as gone", () => {
         const ledger = new Ledger();
         ledger.apply(register("i"), { term: 1, index: 1 });
         const place = { upstream: "u", accelerator: "a0", item: "m@1" };
@@ -95,7 +95,7 @@
         expect(ledger.apply(next, { term: 1, index: 6 }).tag).toEqual("ordered");
     });
 
-    it("orders nothing from an upstream whose agent has restarted since", () => {
+    it("rejects orders for an earlier incarnation of the agent", () => {
         const ledger = new Ledger();
         ledger.apply(register("new"), { term: 1, index: 1 });
         const load: LedgerCommand = {
--- a/packages/placement/src/tests/placers.test.ts
+++ b/packages/placement/src/tests/placers.test.ts
@@ -6,14 +6,14 @@
 
 const seed = 20261202;
 const gibibyte = 2 ** 30;
-const sparePatienceMs = 60_000;
+const spareDelayMs = 60_000;
 
 function model(name: string, gibibytes: number, spec: object = {}): Resource {
     const full = { version: "1", memory: `${gibibytes} GiB`, ...spec };
     return { kind: "Model", name, version: 1, operator: "o", changeId: "c", spec: full };
 }
 
-/** An accelerator that holds these items, all ready, in GiB. */
+/** An accelerator that holds these items (sizes in GiB), all ready. */
 function accelerator(
     upstream: string,
     gibibytes: number,
@@ -49,12 +49,12 @@
     return { catalogue: new Catalogue(1, resources), accelerators, demand: new Map(busy), moveCost: 0.5 };
 }
 
-function plan(planned: PlacementView, placer = new IncrementalPlacer(sparePatienceMs)): string[] {
+function plan(planned: PlacementView, placer = new IncrementalPlacer(spareDelayMs)): string[] {
     return placer.plan(planned).map(({ kind, item, upstream }) => `${kind} ${item} ${upstream}`);
 }
 
 describe("IncrementalPlacer", () => {
-    it("loads what is unreachable first, the higher priority before the larger", () => {
+    it("loads unreachable models first, by priority before size", () => {
         const resources = [
             model("big", 6),
             model("urgent", 2, { priority: 9 }),
@@ -64,43 +64,43 @@
         expect(plan(view(resources, accelerators)).slice(0, 2)).toEqual(["load urgent@1 y", "load big@1 y"]);
     });
 
-    it("puts a second replica into another data centre", () => {
+    it("places a second replica in another data centre", () => {
         const resources = [model("m", 2, { minReplicas: 2 })];
         const near = accelerator("y", 20, {}, { dataCentre: "x" });
         const accelerators = [accelerator("x", 20, { "m@1": 2 }), near, accelerator("z", 20, {})];
         expect(plan(view(resources, accelerators))).toEqual(["load m@1 z"]);
     });
 
-    it("gives up one of two earlier versions that share a full accelerator", () => {
+    it("unloads one of two earlier versions that share a full accelerator", () => {
         const resources = ["a", "b", "c", "d"].map(name => model(name, 3, { version: "3" }));
         const accelerators = [
             accelerator("x", 10, { "a@1": 3, "a@2": 3, "b@1": 3 }),
             accelerator("y", 10, { "c@1": 3, "c@2": 3, "d@1": 3 }),
         ];
-        // The others wait for the memory that this frees.
+        // The other models wait until this memory is free.
         expect(plan(view(resources, accelerators))).toEqual(["unload a@1 x"]);
     });
 
-    it("makes no move for demand that is worth less than the move costs", () => {
+    it("adds no replica for demand below the move cost", () => {
         const resources = [model("m", 2)];
         const accelerators = () => [accelerator("x", 20, { "m@1": 2 }), accelerator("y", 20, {})];
-        // One replica carries 0.7 of its 8 requests at once; half a replica more is the price.
+        // A replica serves 0.7 of its 8 concurrent requests; the move cost is half a replica.
         expect(plan(view(resources, accelerators(), { m: 8 }))).toEqual([]);
         expect(plan(view(resources, accelerators(), { m: 9 }))).toEqual(["load m@1 y"]);
     });
 
-    it("unloads no replica for want of demand while nothing needs its memory", () => {
+    it("does not unload idle replicas while no model needs their memory", () => {
         const accelerators = [accelerator("x", 10, { "m@1": 2 }), accelerator("y", 10, { "m@1": 2 })];
         expect(plan(view([model("m", 2)], accelerators))).toEqual([]);
     });
 
-    it("drops a surplus replica for a model that fits nowhere, and loads that once the memory is free", () => {
+    it("unloads a surplus replica for a model that fits nowhere, and loads that model only in a later plan", () => {
         const resources = [model("m", 6), model("n", 6)];
         const accelerators = [accelerator("x", 8, { "m@1": 6 }), accelerator("y", 8, { "m@1": 6 })];
         expect(plan(view(resources, accelerators))).toEqual(["unload m@1 x"]);
     });
 
-    it("moves a neighbour on by loading it elsewhere first", () => {
+    it("relocates a model by loading it elsewhere first", () => {
         const resources = [model("m", 2), model("huge", 8)];
         const accelerators = [accelerator("x", 8, { "m@1": 2 }), accelerator("y", 4, {})];
         expect(plan(view(resources, accelerators))).toEqual(["load m@1 y"]);
@@ -112,12 +112,12 @@
         expect(plan(view(resources, [accelerator("x", 10, { "m@1": 2, "m@2": 2 })]))).toEqual(["unload m@1 x"]);
     });
 
-    it("loads elsewhere what only a leaver has, and gives it nothing new", () => {
-        const leaver = accelerator("x", 20, { "m@1": 2 }, { stays: false });
-        expect(plan(view([model("m", 2)], [leaver, accelerator("y", 20, {})]))).toEqual(["load m@1 y"]);
+    it("replaces the replica of a draining upstream and loads nothing new there", () => {
+        const draining = accelerator("x", 20, { "m@1": 2 }, { stays: false });
+        expect(plan(view([model("m", 2)], [draining, accelerator("y", 20, {})]))).toEqual(["load m@1 y"]);
     });
 
-    it("unloads an adapter where its model has gone and memory is short", () => {
+    it("unloads an adapter without its model only when memory is short", () => {
         const adapter: Resource = {
             ...model("a", 1),
             kind: "Adapter",
@@ -130,16 +130,16 @@
         expect(planFor(10)).toEqual([]);
     });
 
-    it("gives a spare in another data centre only after its patience", t => {
+    it("adds a spare in another data centre only after the delay", t => {
         t.mock.timers.enable({ apis: ["Date"] });
-        const placer = new IncrementalPlacer(sparePatienceMs);
+        const placer = new IncrementalPlacer(spareDelayMs);
         const planned = view([model("m", 2)], [accelerator("x", 20, { "m@1": 2 }), accelerator("y", 20, {})]);
         expect(plan(planned, placer)).toEqual([]);
-        t.mock.timers.tick(sparePatienceMs);
+        t.mock.timers.tick(spareDelayMs);
         expect(plan(planned, placer)).toEqual(["load m@1 y"]);
     });
 
-    it(`never unloads the last ready replica of a declared model, nor plans over the memory (seed ${seed})`, () => {
+    it(`never unloads the last ready replica of a declared model or exceeds the memory (seed ${seed})`, () => {
         const size = fc.integer({ min: 1, max: 6 });
         const holdings = fc.dictionary(fc.constantFrom("a@1", "b@1", "c@1", "a@2", "gone@1"), size, { maxKeys: 4 });
         const inputs = fc.record({
--- a/packages/placement/src/views.ts
+++ b/packages/placement/src/views.ts
@@ -1,21 +1,21 @@
-/** What a placer decides on: accelerators with what they hold, and the demand for each model. */
+/** Input of a placer: accelerators with their holdings, and the demand for each model. */
 import { type Catalogue } from "@winchpath/declarations";
 import { type LiveUpstream } from "@winchpath/upstream";
 import { type Ledger } from "./ledgers.js";
 import { type Holding } from "./schemas.js";
 
-/** One accelerator. Placers that plan several steps change `free` and `items` of their own copy. */
+/** One accelerator. Placers update `free` and `items` on their own copy. */
 export interface AcceleratorView {
     readonly upstream: string;
     readonly accelerator: string;
     readonly dataCentre: string;
     readonly speed: number;
     readonly bytes: number;
-    /** Requests that the upstream serves at once at full speed. */
+    /** Requests that the upstream can process concurrently at full speed. */
     readonly capacity: number;
-    /** Whether the upstream is there and is to stay: it counts as a replica. */
+    /** Whether it counts as a replica: false for upstreams that are draining. */
     readonly stays: boolean;
-    /** Whether orders may go to it now. */
+    /** Whether orders may currently be sent to it. */
     readonly orderable: boolean;
     free: number;
     readonly items: Map<string, HeldItem>;
@@ -24,15 +24,15 @@
 export interface HeldItem {
     readonly state: Holding["state"];
     readonly bytes: number;
-    /** Whether the engine says that it answers for the item. */
+    /** Whether the engine reports that it can serve the item. */
     readonly ready: boolean;
 }
 
 /** Demand for one model, adapters included, over all entries. */
 export interface Demand {
-    /** Requests a second, smoothed. */
+    /** Requests per second, smoothed. */
     readonly rate: number;
-    /** Requests at upstreams or waiting, smoothed; the higher of a fast and a slow average. */
+    /** Running and waiting requests, smoothed; the higher of a fast and a slow average. */
     readonly busy: number;
 }
 
@@ -40,11 +40,11 @@
     readonly catalogue: Catalogue;
     readonly accelerators: readonly AcceleratorView[];
     readonly demand: ReadonlyMap<string, Demand>;
-    /** Price of a move, as a share of the capacity of one replica. */
+    /** Cost of a move, as a share of one replica's capacity. */
     readonly moveCost: number;
 }
 
-/** An order that a placer asks for, and why. */
+/** An order that a placer requests, with its reason. */
 export interface Action {
     readonly kind: "load" | "unload";
     readonly upstream: string;
@@ -54,12 +54,12 @@
     readonly reason: string;
 }
 
-/** Decides what to load and unload next. */
+/** Plans the next loads and unloads. */
 export interface Placer {
     plan(view: PlacementView): Action[];
 }
 
-/** The accelerators of all live engines, by name. */
+/** Returns the accelerators of all live engines, sorted by name. */
 export function acceleratorViews(
     ledger: Ledger,
     live: readonly LiveUpstream[],
@@ -67,7 +67,7 @@
     orderable: (upstream: LiveUpstream) => boolean,
 ): AcceleratorView[] {
     const views = live.flatMap(upstream => viewsOf(ledger, upstream, drained, orderable(upstream)));
-    return views.sort((a, b) => keyOf(a) < keyOf(b) ? -1 : 1);
+    return views.sort((a, b) => acceleratorKey(a) < acceleratorKey(b) ? -1 : 1);
 }
 
 function viewsOf(
@@ -78,7 +78,7 @@
 ): AcceleratorView[] {
     const { report, ready } = live;
     const known = ledger.upstream(report.upstream);
-    const held = ledger.heldBy(report.upstream);
+    const held = ledger.holdingsOf(report.upstream);
     return (known?.accelerators ?? []).map(({ name, bytes, speed }) => {
         const mine = held.filter(holding => holding.accelerator === name);
         const items = new Map(mine.map(({ item, state, bytes: size }): [string, HeldItem] => [
@@ -100,6 +100,6 @@
     });
 }
 
-export function keyOf(view: { readonly upstream: string; readonly accelerator: string; }): string {
+export function acceleratorKey(view: { readonly upstream: string; readonly accelerator: string; }): string {
     return `${view.upstream}/${view.accelerator}`;
 }
--- a/packages/requests/src/agents.ts
+++ b/packages/requests/src/agents.ts
@@ -1,26 +1,26 @@
-/** How an entry reaches agents. */
+/** RPC client for the agents that run beside upstreams. */
 import { messageOf } from "@winchpath/core";
 import { type RpcClients } from "@winchpath/rpc";
 import { AgentService, FenceOutcome, type RunChunk, type RunRequest } from "@winchpath/upstream";
 
-/** Calls to one agent. */
+/** Client for a single agent. */
 export interface AgentClient {
-    /** The chunks of one attempt; throws when the connection is lost. */
+    /** Streams the response of one attempt; throws if the connection is lost. */
     run(req: RunRequest, signal: AbortSignal): AsyncIterable<RunChunk>;
     fence(attempt: AttemptId, timeoutMs: number): Promise<FenceOutcome>;
     cancel(attempt: AttemptId, timeoutMs: number): Promise<void>;
 }
 
-/** Names one attempt at one incarnation of an agent. */
+/** Identifies an attempt at one incarnation of an agent. */
 export interface AttemptId {
     readonly requestId: string;
     readonly attempt: number;
     readonly incarnation: string;
-    /** The report that its upstream was chosen by. */
+    /** Sequence number of the report on which the upstream was selected. */
     readonly seenReport: bigint;
 }
 
-/** Finds an agent by its URL; tests put faults here. */
+/** Creates clients by agent URL; tests inject faults here. */
 export interface AgentConnector {
     connect(url: string): AgentClient;
 }
@@ -31,7 +31,7 @@
     public connect(url: string): AgentClient {
         const client = this.clients.client(AgentService, url);
         return {
-            run: (req, signal) => typedRun(client.run(req, { signal })),
+            run: (req, signal) => mapConnectionErrors(client.run(req, { signal })),
             fence: async (attempt, timeoutMs) => (await client.fence(attempt, { timeoutMs })).outcome,
             cancel: async ({ requestId, attempt }, timeoutMs) => {
                 await client.cancel({ requestId, attempt }, { timeoutMs });
@@ -40,25 +40,25 @@
     }
 }
 
-/** The agent could not be connected to: the request was not sent. */
+/** The connection to the agent could not be established, so the request was not sent. */
 export class NotSentError extends Error {}
 
-async function* typedRun(chunks: AsyncIterable<RunChunk>): AsyncGenerator<RunChunk> {
+async function* mapConnectionErrors(chunks: AsyncIterable<RunChunk>): AsyncGenerator<RunChunk> {
     try {
         yield* chunks;
     }
     catch (err) {
-        throw wasNeverConnected(err) ? new NotSentError(messageOf(err)) : err;
+        throw isConnectionRefused(err) ? new NotSentError(messageOf(err)) : err;
     }
 }
 
-/** A refused connection; one that was lost later may have carried the request. */
-function wasNeverConnected(err: unknown): boolean {
+/** Only a refused connection proves that nothing was sent; a connection lost later may have carried the request. */
+function isConnectionRefused(err: unknown): boolean {
     const cause = err instanceof Error ? err.cause as { code?: string; } | undefined : undefined;
     return cause?.code === "ECONNREFUSED";
 }
 
-/** Settles with the agent what became of an attempt; undefined where it does not answer in time. */
+/** Fences an attempt at its agent and returns the outcome, or undefined if the agent does not respond in time. */
 export async function fenceAttempt(
     agent: AgentClient,
     attempt: AttemptId,
@@ -72,12 +72,12 @@
     }
 }
 
-/** Whether the attempt can't have run and never will. */
+/** Whether the attempt has not run and never will. */
 export function neverRan(outcome: FenceOutcome | undefined): boolean {
     return outcome === FenceOutcome.NEVER;
 }
 
-/** Whether the agent has the answer, or will have it. */
-export function hasAnswer(outcome: FenceOutcome | undefined): boolean {
+/** Whether the agent has, or will have, the response. */
+export function hasResponse(outcome: FenceOutcome | undefined): boolean {
     return outcome === FenceOutcome.RUNNING || outcome === FenceOutcome.FINISHED;
 }
--- a/packages/requests/src/attempts.ts
+++ b/packages/requests/src/attempts.ts
@@ -1,71 +1,80 @@
-/** One attempt of a request at one agent. */
+/** Sends one attempt of a request to one agent. */
 import { create } from "@bufbuild/protobuf";
 import { messageOf } from "@winchpath/core";
 import { type RoutedReplica, type Router } from "@winchpath/routing";
 import { Refusal, RunRequestSchema } from "@winchpath/upstream";
 import { type AgentConnector, NotSentError } from "./agents.js";
-import { type AnswerEvent, type Job, timeLeft } from "./jobs.js";
-import { type AnswerReader, type AttemptEnd } from "./readers.js";
-import { type AttemptWatch } from "./watches.js";
+import { type Job, remainingMs, type ResponseEvent } from "./jobs.js";
+import { type AttemptResult, type ResponseReader } from "./readers.js";
+import { type AttemptMonitor } from "./watches.js";
 
 const cancelTimeoutMs = 1000;
 
-/** Which attempt is made, and how. */
 export interface AttemptPlan {
     readonly requestId: string;
     readonly attempt: number;
     readonly replica: Pick<RoutedReplica, "upstream" | "url" | "incarnation" | "item" | "sequence">;
-    /** Only takes part in an attempt that the agent knows already. */
+    /** Attaches to an attempt that the agent already knows instead of starting one. */
     readonly attach: boolean;
 }
 
-export class Attempts {
+export class AttemptRunner {
     public constructor(
         private readonly agents: AgentConnector,
-        private readonly watch: AttemptWatch,
+        private readonly monitor: AttemptMonitor,
         private readonly router: Router,
         private readonly entry: string,
     ) {}
 
-    /** Makes the attempt, or goes on with it where the reader stands, and hands on what is new to the caller. */
-    public async *make(job: Job, plan: AttemptPlan, reader: AnswerReader): AsyncGenerator<AnswerEvent, AttemptEnd> {
+    /** Runs the attempt, or resumes it at the reader's offset, and yields what the client has not yet received. */
+    public async *run(
+        job: Job,
+        plan: AttemptPlan,
+        reader: ResponseReader,
+    ): AsyncGenerator<ResponseEvent, AttemptResult> {
         const { upstream, incarnation } = plan.replica;
         this.router.loads.started(upstream);
         this.router.ejections.sent(upstream);
         this.router.availability.sent(incarnation);
-        const end: { value: AttemptEnd; } = { value: { tag: "lost", message: "the connection ended" } };
+        const result: { value: AttemptResult; } = {
+            value: { tag: "lost", message: "connection closed before the end of the response" },
+        };
         try {
-            yield* this.watch.during(upstream, incarnation, lost => this.receive(job, plan, reader, lost, end));
+            yield* this.monitor.run(
+                upstream,
+                incarnation,
+                leaseLost => this.receiveResponse(job, plan, reader, leaseLost, result),
+            );
         }
         finally {
             this.router.loads.ended(upstream);
-            this.cancelIfLeft(job, plan);
+            this.cancelIfDisconnected(job, plan);
         }
-        this.hear(incarnation, end.value);
-        this.learn(upstream, end.value);
-        return end.value;
+        this.updateAvailability(incarnation, result.value);
+        this.updateEjections(upstream, result.value);
+        return result.value;
     }
 
-    private async *receive(
+    private async *receiveResponse(
         job: Job,
         plan: AttemptPlan,
-        reader: AnswerReader,
-        lost: AbortSignal,
-        end: { value: AttemptEnd; },
-    ): AsyncGenerator<AnswerEvent> {
-        const cut = new AbortController();
-        const abort = () => cut.abort();
-        const timer = setTimeout(abort, timeLeft(job));
-        [lost, job.signal].forEach(signal => signal.addEventListener("abort", abort, { once: true }));
+        reader: ResponseReader,
+        leaseLost: AbortSignal,
+        result: { value: AttemptResult; },
+    ): AsyncGenerator<ResponseEvent> {
+        const abortController = new AbortController();
+        const abort = () => abortController.abort();
+        const timer = setTimeout(abort, remainingMs(job));
+        [leaseLost, job.signal].forEach(signal => signal.addEventListener("abort", abort, { once: true }));
         try {
             const chunks = this.agents.connect(plan.replica.url).run(
-                this.request(job, plan, reader.received),
-                cut.signal,
+                this.createRunRequest(job, plan, reader.received),
+                abortController.signal,
             );
             for await (const chunk of chunks) {
-                yield* reader.take(chunk);
-                if (reader.end !== undefined) {
-                    end.value = reader.end;
+                yield* reader.read(chunk);
+                if (reader.result !== undefined) {
+                    result.value = reader.result;
                     return;
                 }
             }
@@ -73,18 +82,21 @@
         catch (err) {
             if (err instanceof NotSentError && !plan.attach) {
                 const refusal = Refusal.UNREACHABLE;
-                end.value = { tag: "refused", refusal, revision: 0, message: err.message, restMs: 0 };
+                result.value = { tag: "refused", refusal, revision: 0, message: err.message, restMs: 0 };
                 return;
             }
-            end.value = { tag: "lost", message: lost.aborted ? "the agent's lease has run out" : messageOf(err) };
+            result.value = {
+                tag: "lost",
+                message: leaseLost.aborted ? "agent lease expired" : messageOf(err),
+            };
         }
         finally {
             clearTimeout(timer);
-            [lost, job.signal].forEach(signal => signal.removeEventListener("abort", abort));
+            [leaseLost, job.signal].forEach(signal => signal.removeEventListener("abort", abort));
         }
     }
 
-    private request(job: Job, plan: AttemptPlan, offset: number) {
+    private createRunRequest(job: Job, plan: AttemptPlan, offset: number) {
         const { requestId, attempt, replica, attach } = plan;
         return create(RunRequestSchema, {
             requestId,
@@ -96,7 +108,7 @@
             body: job.bodyFor(replica.item),
             resource: job.resource,
             revision: BigInt(job.revision()),
-            timeoutMs: timeLeft(job),
+            timeoutMs: remainingMs(job),
             idempotent: job.repeatable,
             offset: BigInt(offset),
             attach,
@@ -105,7 +117,7 @@
         });
     }
 
-    private cancelIfLeft(job: Job, plan: AttemptPlan): void {
+    private cancelIfDisconnected(job: Job, plan: AttemptPlan): void {
         if (job.signal.aborted && job.repeatable) {
             const { requestId, attempt, replica } = plan;
             const id = { requestId, attempt, incarnation: replica.incarnation, seenReport: replica.sequence };
@@ -113,26 +125,27 @@
         }
     }
 
-    /** Takes in what an agent has said of the upstream beside it. */
-    private hear(incarnation: string, end: AttemptEnd): void {
+    /** Records availability that the agent reported for its upstream. */
+    private updateAvailability(incarnation: string, result: AttemptResult): void {
         const { availability } = this.router;
-        if (end.tag === "whole") {
+        if (result.tag === "whole") {
             availability.answered(incarnation);
         }
-        else if (end.tag === "refused" && end.refusal === Refusal.LEAVING) {
+        else if (result.tag === "refused" && result.refusal === Refusal.LEAVING) {
             availability.leaves(incarnation);
         }
-        else if (end.tag === "refused" && end.restMs > 0) {
-            availability.rest(incarnation, end.restMs);
+        else if (result.tag === "refused" && result.restMs > 0) {
+            availability.rest(incarnation, result.restMs);
         }
     }
 
-    private learn(upstream: string, end: AttemptEnd): void {
-        if (end.tag === "whole") {
+    private updateEjections(upstream: string, result: AttemptResult): void {
+        if (result.tag === "whole") {
             this.router.ejections.succeeded(upstream);
         }
         else if (
-            end.tag === "lost" || end.tag === "broken" || (end.tag === "refused" && end.refusal === Refusal.UNREACHABLE)
+            result.tag === "lost" || result.tag === "broken"
+            || (result.tag === "refused" && result.refusal === Refusal.UNREACHABLE)
         ) {
             this.router.ejections.failed(upstream);
         }
--- a/packages/requests/src/budgets.ts
+++ b/packages/requests/src/budgets.ts
@@ -1,20 +1,20 @@
-/** Retries are paid from what first attempts bring in, so that they can't multiply a failure. */
+/** Limits retries to a share of incoming requests, so that retries cannot amplify an outage. */
 
-/** Retries that are free at the start and after quiet times. */
-const reserve = 10;
+/** Initial balance; the maximum balance is ten times as high. */
+const initialBalance = 10;
 
 export class RetryBudget {
-    private balance = reserve;
+    private balance = initialBalance;
 
-    public constructor(private readonly share: number) {}
+    public constructor(private readonly depositPerRequest: number) {}
 
-    /** A request came in. */
-    public earn(): void {
-        this.balance = Math.min(this.balance + this.share, reserve * 10);
+    /** Adds the share of one incoming request. */
+    public deposit(): void {
+        this.balance = Math.min(this.balance + this.depositPerRequest, initialBalance * 10);
     }
 
-    /** Whether one more retry may be made; pays for it when so. */
-    public spend(): boolean {
+    /** Withdraws one retry; returns false if the balance is too low. */
+    public tryWithdraw(): boolean {
         if (this.balance < 1) {
             return false;
         }
--- a/packages/requests/src/claims.ts
+++ b/packages/requests/src/claims.ts
@@ -1,8 +1,8 @@
-/** Claims on idempotency keys, as replicated state. */
+/** Replicated state machine of claims on idempotency keys. */
 import { type Claim, type ClaimCommand, type ClaimResult } from "./schemas.js";
 
-/** Bytes of answers, in base64, that are kept with their claims. */
-const maxAnswerBytes = 32 * 1024 * 1024;
+/** Limit of the stored response bodies, in base64 characters. */
+const maxResponseBytes = 32 * 1024 * 1024;
 
 interface State {
     readonly claims: Claim[];
@@ -10,18 +10,18 @@
 }
 
 interface Context {
-    /** Leader's clock, milliseconds since the epoch. */
+    /** The leader's clock, in milliseconds since the epoch. */
     readonly time: number;
 }
 
-/** Every command may be applied twice: the second time it gives what the first did. */
+/** Commands are idempotent: applying one again returns the same result. */
 export class Claims {
     public readonly slice = "claims";
-    /** In the order of their claiming, which is that of their expiry while the window stays the same. */
+    /** In insertion order, which is also expiry order as long as the claim window does not change. */
     private claims = new Map<string, Claim>();
-    /** Claims with an answer, and the size of its body, in the order of the answers. */
-    private answered = new Map<string, number>();
-    private answerBytes = 0;
+    /** Body size of each stored response by key, oldest first. */
+    private responseSizes = new Map<string, number>();
+    private responseBytes = 0;
 
     public get size(): number {
         return this.claims.size;
@@ -42,26 +42,26 @@
             case "release":
                 return this.release(claimCommand);
             case "answer":
-                return this.keepAnswer(claimCommand);
+                return this.storeResponse(claimCommand);
         }
     }
 
     public snapshot(): State {
-        return { claims: [...this.claims.values()], answered: [...this.answered] };
+        return { claims: [...this.claims.values()], answered: [...this.responseSizes] };
     }
 
     public restore(state: unknown): void {
         const { claims, answered } = state as State;
         this.claims = new Map(claims.map(claim => [claim.key, claim]));
-        this.answered = new Map(answered);
-        this.answerBytes = answered.reduce((sum, [, bytes]) => sum + bytes, 0);
+        this.responseSizes = new Map(answered);
+        this.responseBytes = answered.reduce((sum, [, bytes]) => sum + bytes, 0);
     }
 
     private claim(command: Extract<ClaimCommand, { op: "claim"; }>, time: number): ClaimResult {
         const { key, requestId, fingerprint, holder, upstream, url, incarnation, seenReport, windowMs } = command;
         const known = this.claims.get(key);
         if (known !== undefined) {
-            return known.fingerprint === fingerprint ? ownership(known, holder) : { tag: "mismatch" };
+            return known.fingerprint === fingerprint ? claimResult(known, holder) : { tag: "mismatch" };
         }
         const claim = {
             key,
@@ -86,7 +86,7 @@
             return { tag: "free" };
         }
         if (known.attempt !== fromAttempt || known.ran) {
-            return ownership(known, holder);
+            return claimResult(known, holder);
         }
         const claim = { ...known, attempt: fromAttempt + 1, holder, upstream, url, incarnation, seenReport };
         this.claims.set(key, claim);
@@ -102,7 +102,7 @@
         return { tag: "free" };
     }
 
-    private keepAnswer(command: Extract<ClaimCommand, { op: "answer"; }>): ClaimResult {
+    private storeResponse(command: Extract<ClaimCommand, { op: "answer"; }>): ClaimResult {
         const known = this.claims.get(command.key);
         if (known === undefined) {
             return { tag: "free" };
@@ -112,28 +112,28 @@
         }
         const claim = { ...known, ran: true, answer: command.answer };
         this.claims.set(command.key, claim);
-        this.countAnswer(claim);
+        this.trackResponse(claim);
         return { tag: "held", claim };
     }
 
-    /** Drops the answers that came first, not their claims, where there are too many bytes of them. */
-    private countAnswer(claim: Claim): void {
+    /** Drops the oldest responses above the size limit; their claims remain. */
+    private trackResponse(claim: Claim): void {
         if (claim.answer === undefined) {
             return;
         }
-        this.answered.set(claim.key, claim.answer.body.length);
-        this.answerBytes += claim.answer.body.length;
-        for (const [key, bytes] of this.answered) {
-            if (this.answerBytes <= maxAnswerBytes) {
+        this.responseSizes.set(claim.key, claim.answer.body.length);
+        this.responseBytes += claim.answer.body.length;
+        for (const [key, bytes] of this.responseSizes) {
+            if (this.responseBytes <= maxResponseBytes) {
                 return;
             }
-            this.forgetAnswer(key, bytes);
+            this.dropResponse(key, bytes);
         }
     }
 
-    private forgetAnswer(key: string, bytes: number): void {
-        this.answered.delete(key);
-        this.answerBytes -= bytes;
+    private dropResponse(key: string, bytes: number): void {
+        this.responseSizes.delete(key);
+        this.responseBytes -= bytes;
         const claim = this.claims.get(key);
         if (claim !== undefined) {
             this.claims.set(key, { ...claim, answer: undefined });
@@ -146,11 +146,11 @@
                 return;
             }
             this.claims.delete(key);
-            this.forgetAnswer(key, this.answered.get(key) ?? 0);
+            this.dropResponse(key, this.responseSizes.get(key) ?? 0);
         }
     }
 }
 
-function ownership(claim: Claim, holder: string): ClaimResult {
+function claimResult(claim: Claim, holder: string): ClaimResult {
     return { tag: claim.holder === holder ? "mine" : "held", claim };
 }
--- a/packages/requests/src/executions.ts
+++ b/packages/requests/src/executions.ts
@@ -1,53 +1,52 @@
-/** Runs one request over as many attempts as it takes and may have. */
+/** Runs a request, with retries on other replicas. */
 import { type Metrics, sleep, steadyNow } from "@winchpath/core";
 import { mostEndsOfOneRequest } from "@winchpath/quarantine";
 import { type RoutedReplica } from "@winchpath/routing";
 import { type Timeline } from "@winchpath/timeline";
 import { Refusal } from "@winchpath/upstream";
-import { type AgentConnector, fenceAttempt, hasAnswer, neverRan } from "./agents.js";
-import { type AttemptPlan, type Attempts } from "./attempts.js";
+import { type AgentConnector, fenceAttempt, hasResponse, neverRan } from "./agents.js";
+import { type AttemptPlan, type AttemptRunner } from "./attempts.js";
 import { type RetryBudget } from "./budgets.js";
-import { type AnswerEvent, type Job } from "./jobs.js";
+import { type Job, type ResponseEvent } from "./jobs.js";
 import { ProblemCode, RequestFailure } from "./problems.js";
-import { Progress } from "./progress.js";
+import { ResponseProgress } from "./progress.js";
 import { type RequestQuarantine } from "./quarantines.js";
-import { type Queues } from "./queues.js";
-import { AnswerReader, type AttemptEnd } from "./readers.js";
+import { type TargetQueues } from "./queues.js";
+import { type AttemptResult, ResponseReader } from "./readers.js";
 
 const maxAttempts = 8;
 const maxResumes = 3;
 const fenceTimeoutMs = 1000;
-/** Pause before a stale entry asks again. */
-const staleRetryMs = 50;
+/** Interval at which a stale entry checks for the newer revision. */
+const revisionPollMs = 50;
 const retryAfterMs = 1000;
 
-/** What every execution uses. */
-export interface ExecutionParts {
+export interface ExecutionDependencies {
     readonly agents: AgentConnector;
-    readonly attempts: Attempts;
-    readonly queues: Queues;
+    readonly attempts: AttemptRunner;
+    readonly queues: TargetQueues;
     readonly budget: RetryBudget;
     readonly quarantine: RequestQuarantine;
     readonly timeline: Timeline;
     readonly metrics: Metrics;
 }
 
-/** What is certain about an attempt that did not end whole. */
-export type Verdict = "never" | "answer" | "unknown";
+/** What is known of an attempt whose response is incomplete: it never runs, the agent has the response, or unknown. */
+export type AttemptStatus = "never" | "answer" | "unknown";
 
 export class Execution {
-    public readonly progress = new Progress();
-    private readonly tried = new Map<string, bigint>();
+    public readonly progress = new ResponseProgress();
+    private readonly attemptedReplicas = new Map<string, bigint>();
     private attempt = 0;
     private mayHaveRun = false;
-    /** Upstreams that ended under it. */
-    private upstreamEnds = 0;
+    /** Number of upstreams that crashed while running this request. */
+    private upstreamCrashes = 0;
 
-    public constructor(private readonly parts: ExecutionParts, private readonly job: Job) {}
+    public constructor(private readonly dependencies: ExecutionDependencies, private readonly job: Job) {}
 
-    /** The whole answer; throws a `RequestFailure` where there is none. */
-    public async *run(): AsyncGenerator<AnswerEvent> {
-        this.parts.budget.earn();
+    /** Yields the complete response; throws a `RequestFailure` otherwise. */
+    public async *run(): AsyncGenerator<ResponseEvent> {
+        this.dependencies.budget.deposit();
         while (this.attempt < maxAttempts) {
             const replica = await this.admit();
             this.attempt += 1;
@@ -58,74 +57,80 @@
                 attach: false,
                 resume: false,
             };
-            const end = yield* this.attemptAndResume(plan);
-            if (end.tag === "whole") {
+            const result = yield* this.runAttempt(plan);
+            if (result.tag === "whole") {
                 return;
             }
-            await this.prepareRetry(replica, end);
+            await this.prepareRetry(replica, result);
         }
         throw this.failure(ProblemCode.upstreamLost, `${maxAttempts} attempts failed`);
     }
 
-    /** Makes an attempt; where only the way to its answer was lost, goes on with the same one. */
-    public async *attemptAndResume(plan: AttemptPlan): AsyncGenerator<AnswerEvent, AttemptEnd> {
-        const { queues, quarantine } = this.parts;
+    /** Runs an attempt, resumes it after lost connections, and reports its result to the queue and the quarantine. */
+    public async *runAttempt(plan: AttemptPlan): AsyncGenerator<ResponseEvent, AttemptResult> {
+        const { queues, quarantine } = this.dependencies;
         const startedAt = Date.now();
         const sentAt = steadyNow();
-        const end = yield* this.attemptWhileHeard(plan);
-        if (end.tag === "whole") {
-            queues.of(this.job.resource).noteService(Date.now() - startedAt);
-            quarantine.succeeded(this.job);
+        const result = yield* this.attemptWithResumes(plan);
+        if (result.tag === "whole") {
+            queues.forTarget(this.job.resource).recordServiceTime(Date.now() - startedAt);
+            quarantine.recordSuccess(this.job);
         }
-        else if (end.tag === "broken" && end.upstreamEnd !== "") {
-            quarantine.lost(this.job, { upstreamEnd: end.upstreamEnd, sentAt });
+        else if (result.tag === "broken" && result.upstreamEnd !== "") {
+            quarantine.recordCrash(this.job, { upstreamEnd: result.upstreamEnd, sentAt });
         }
-        return end;
+        return result;
     }
 
-    private async *attemptWhileHeard(plan: AttemptPlan): AsyncGenerator<AnswerEvent, AttemptEnd> {
-        const { attempts } = this.parts;
-        const reader = new AnswerReader(this.job, this.progress);
-        let end = yield* attempts.make(this.job, plan, reader);
-        for (let resumes = 0; end.tag === "lost" && resumes < maxResumes && !this.isOver(); resumes++) {
-            const verdict = await this.verdictOn(plan);
-            this.parts.timeline.record("request.attempt-lost", {
+    private async *attemptWithResumes(plan: AttemptPlan): AsyncGenerator<ResponseEvent, AttemptResult> {
+        const { attempts } = this.dependencies;
+        const reader = new ResponseReader(this.job, this.progress);
+        let result = yield* attempts.run(this.job, plan, reader);
+        for (let resumes = 0; result.tag === "lost" && resumes < maxResumes && !this.isAbortedOrExpired(); resumes++) {
+            const status = await this.settleAttempt(plan);
+            this.dependencies.timeline.record("request.attempt-lost", {
                 requestId: plan.requestId,
                 resource: this.job.resource,
-                detail: `attempt=${plan.attempt} at ${plan.replica.upstream}: ${end.message}; ${verdict}`,
+                detail: `attempt=${plan.attempt} at ${plan.replica.upstream}: ${result.message}; ${status}`,
             });
-            if (verdict === "never") {
-                return { tag: "refused", refusal: Refusal.FENCED, revision: 0, message: "it never began", restMs: 0 };
+            if (status === "never") {
+                return {
+                    tag: "refused",
+                    refusal: Refusal.FENCED,
+                    revision: 0,
+                    message: "attempt was never started",
+                    restMs: 0,
+                };
             }
-            if (verdict === "unknown") {
-                return end;
+            if (status === "unknown") {
+                return result;
             }
-            end = yield* attempts.make(this.job, { ...plan, attach: true }, reader);
-            if (end.tag === "refused") {
-                // It ran, but its answer is not to be had any more.
-                end = { tag: "lost", message: end.message };
+            result = yield* attempts.run(this.job, { ...plan, attach: true }, reader);
+            if (result.tag === "refused") {
+                // The attempt ran, but its response is no longer available.
+                result = { tag: "lost", message: result.message };
                 break;
             }
         }
-        return end;
+        return result;
     }
 
-    /** Asks the agent to settle the attempt: it answers for it, or never begins it. */
-    public async verdictOn({ requestId, attempt, replica }: AttemptPlan): Promise<Verdict> {
-        const agent = this.parts.agents.connect(replica.url);
+    /** Fences the attempt: afterwards the agent either has its response or never starts it. */
+    public async settleAttempt({ requestId, attempt, replica }: AttemptPlan): Promise<AttemptStatus> {
+        const agent = this.dependencies.agents.connect(replica.url);
         const id = { requestId, attempt, incarnation: replica.incarnation, seenReport: replica.sequence };
         const outcome = await fenceAttempt(agent, id, fenceTimeoutMs);
-        return neverRan(outcome) ? "never" : hasAnswer(outcome) ? "answer" : "unknown";
+        return neverRan(outcome) ? "never" : hasResponse(outcome) ? "answer" : "unknown";
     }
 
-    /** A replica that has not failed the request, or was heard since it did. */
+    /** Waits for a replica that has not failed this request since its latest report. */
     public async admit(): Promise<RoutedReplica> {
-        const { job, tried } = this;
-        this.refuseIfBarred();
+        const { job, attemptedReplicas } = this;
+        this.throwIfQuarantined();
         try {
-            const replica = await this.parts.queues.of(job.resource).admit(job, tried);
-            // It may have become known while this one waited.
-            this.refuseIfBarred();
+            const replica = await this.dependencies.queues.forTarget(job.resource).admit(job, attemptedReplicas);
+            // The request may have been quarantined while it was queued.
+            this.throwIfQuarantined();
             return replica;
         }
         catch (err) {
@@ -136,62 +141,71 @@
         }
     }
 
-    /** Returns where the request may be tried elsewhere; throws its final failure otherwise. */
-    public async prepareRetry(replica: RoutedReplica, end: Exclude<AttemptEnd, { tag: "whole"; }>): Promise<void> {
+    /** Returns if the request may be retried; throws the final failure otherwise. */
+    public async prepareRetry(
+        replica: RoutedReplica,
+        result: Exclude<AttemptResult, { tag: "whole"; }>,
+    ): Promise<void> {
         const { job } = this;
-        this.mayHaveRun ||= end.tag !== "refused";
+        this.mayHaveRun ||= result.tag !== "refused";
         if (job.signal.aborted) {
-            throw this.failure(ProblemCode.callerLeft, "the caller left");
+            throw this.failure(ProblemCode.callerLeft, "client disconnected");
         }
         if (Date.now() >= job.deadline) {
-            throw this.failure(ProblemCode.deadline, detailOf(end));
+            throw this.failure(ProblemCode.deadline, detailOf(result));
         }
-        if (end.tag === "different") {
-            throw this.failure(ProblemCode.upstreamLost, "the answer broke off, and another attempt began otherwise");
+        if (result.tag === "different") {
+            throw this.failure(
+                ProblemCode.upstreamLost,
+                "response was interrupted, and the retry returned a different response",
+            );
         }
-        const isLost = end.tag === "broken" && end.upstreamEnd !== "";
-        this.upstreamEnds += isLost ? 1 : 0;
-        if (isLost && (this.upstreamEnds >= mostEndsOfOneRequest || this.parts.quarantine.isSuspected(job))) {
-            throw this.failure(ProblemCode.upstreamLost, "upstreams ended under this request before");
+        const upstreamCrashed = result.tag === "broken" && result.upstreamEnd !== "";
+        this.upstreamCrashes += upstreamCrashed ? 1 : 0;
+        if (
+            upstreamCrashed
+            && (this.upstreamCrashes >= mostEndsOfOneRequest || this.dependencies.quarantine.isSuspected(job))
+        ) {
+            throw this.failure(ProblemCode.upstreamLost, "upstreams have crashed while running this request");
         }
-        if (end.tag !== "refused" && !job.repeatable) {
-            throw this.failure(ProblemCode.upstreamLost, detailOf(end));
+        if (result.tag !== "refused" && !job.repeatable) {
+            throw this.failure(ProblemCode.upstreamLost, detailOf(result));
         }
-        if (end.tag === "refused" && end.refusal === Refusal.STALE_REVISION) {
-            await this.catchUp(end.revision);
+        if (result.tag === "refused" && result.refusal === Refusal.STALE_REVISION) {
+            await this.waitForRevision(result.revision);
             return;
         }
-        this.tried.set(replica.upstream, replica.sequence);
-        if (!this.parts.budget.spend()) {
-            throw this.failure(ProblemCode.overloaded, "no retries are left in the budget", retryAfterMs);
+        this.attemptedReplicas.set(replica.upstream, replica.sequence);
+        if (!this.dependencies.budget.tryWithdraw()) {
+            throw this.failure(ProblemCode.overloaded, "retry budget exhausted", retryAfterMs);
         }
-        this.parts.metrics.count("retries_total", { resource: job.resource });
+        this.dependencies.metrics.count("retries_total", { resource: job.resource });
     }
 
-    private refuseIfBarred(): void {
-        const refusal = this.parts.quarantine.refusal(this.job, this.mayHaveRun);
+    private throwIfQuarantined(): void {
+        const refusal = this.dependencies.quarantine.rejectionFor(this.job, this.mayHaveRun);
         if (refusal !== undefined) {
             throw refusal;
         }
     }
 
-    /** A failure with the outcome that is certain. */
+    /** Creates a failure whose outcome says whether the request may have run. */
     public failure(code: ProblemCode, detail: string, retryMs?: number): RequestFailure {
         return new RequestFailure(code, this.mayHaveRun ? "unknown" : "not-run", detail, retryMs);
     }
 
-    /** The agent knows a newer revision: this entry has to hear of it first. */
-    private async catchUp(revision: number): Promise<void> {
-        while (this.job.revision() < revision && !this.isOver()) {
-            await sleep(staleRetryMs, this.job.signal);
+    /** Waits until this entry has received the newer revision that the agent knows. */
+    private async waitForRevision(revision: number): Promise<void> {
+        while (this.job.revision() < revision && !this.isAbortedOrExpired()) {
+            await sleep(revisionPollMs, this.job.signal);
         }
     }
 
-    private isOver(): boolean {
+    private isAbortedOrExpired(): boolean {
         return this.job.signal.aborted || Date.now() >= this.job.deadline;
     }
 }
 
-function detailOf(end: Exclude<AttemptEnd, { tag: "whole"; }>): string {
-    return end.tag === "different" ? "the answer began otherwise" : end.message;
+function detailOf(result: Exclude<AttemptResult, { tag: "whole"; }>): string {
+    return result.tag === "different" ? "retry returned a different response" : result.message;
 }
--- a/packages/requests/src/handlers.ts
+++ b/packages/requests/src/handlers.ts
@@ -1,26 +1,26 @@
-/** Runs jobs: the entry's side of a request between its HTTP form and the agents. */
+/** Runs parsed client requests against the agents. */
 import { type Metrics } from "@winchpath/core";
 import { type Router } from "@winchpath/routing";
 import { type Timeline } from "@winchpath/timeline";
 import { type Registrar } from "@winchpath/upstream";
 import { type AgentConnector } from "./agents.js";
-import { Attempts } from "./attempts.js";
+import { AttemptRunner } from "./attempts.js";
 import { RetryBudget } from "./budgets.js";
 import { Execution } from "./executions.js";
-import { type AnswerEvent, type Job } from "./jobs.js";
-import { type ClaimLog, KeyedExecution, type KeyedParts } from "./keyed.js";
+import { type Job, type ResponseEvent } from "./jobs.js";
+import { type ClaimLog, IdempotentExecution, type IdempotentExecutionDependencies } from "./keyed.js";
 import { DemandMeter } from "./meters.js";
 import { ProblemCode, RequestFailure } from "./problems.js";
 import { type RequestQuarantine } from "./quarantines.js";
-import { Queues } from "./queues.js";
-import { AttemptWatch } from "./watches.js";
+import { TargetQueues } from "./queues.js";
+import { AttemptMonitor } from "./watches.js";
 
 const claimTimeoutMs = 5000;
-const joinPatienceMs = 500;
-/** One in so many requests that end well is told on the time line. */
-const sampleEvery = 20;
+const defaultJoinTimeoutMs = 500;
+/** Records one in this many successful requests in the timeline. */
+const timelineSampleInterval = 20;
 
-export interface RequestHandlerParts {
+export interface RequestHandlerDependencies {
     readonly entry: string;
     readonly agents: AgentConnector;
     readonly router: Router;
@@ -32,59 +32,59 @@
     readonly queueLimit: number;
     readonly retryShare: number;
     readonly claimWindowMs: number;
-    /** How long a copy waits for the claimed attempt to be sent; half a second where absent. */
-    readonly joinPatienceMs?: number;
+    /** How long a duplicate waits for the claimed attempt to be sent; 500 ms by default. */
+    readonly joinTimeoutMs?: number;
 }
 
 export class RequestHandler {
     public readonly meter = new DemandMeter();
-    private readonly watch: AttemptWatch;
-    private readonly queues: Queues;
-    private readonly keyed: KeyedParts;
+    private readonly attemptMonitor: AttemptMonitor;
+    private readonly queues: TargetQueues;
+    private readonly executionDependencies: IdempotentExecutionDependencies;
     private runningCount = 0;
-    private handled = 0;
+    private completedCount = 0;
     private stopping = false;
 
-    public constructor(private readonly parts: RequestHandlerParts) {
-        const { agents, router, entry, timeline, metrics } = parts;
-        this.watch = new AttemptWatch(parts.registrar);
-        this.queues = new Queues(router, parts.queueLimit);
-        this.keyed = {
+    public constructor(private readonly dependencies: RequestHandlerDependencies) {
+        const { agents, router, entry, timeline, metrics } = dependencies;
+        this.attemptMonitor = new AttemptMonitor(dependencies.registrar);
+        this.queues = new TargetQueues(router, dependencies.queueLimit);
+        this.executionDependencies = {
             agents,
-            attempts: new Attempts(agents, this.watch, router, entry),
+            attempts: new AttemptRunner(agents, this.attemptMonitor, router, entry),
             queues: this.queues,
-            budget: new RetryBudget(parts.retryShare),
-            quarantine: parts.quarantine,
+            budget: new RetryBudget(dependencies.retryShare),
+            quarantine: dependencies.quarantine,
             timeline,
             metrics,
-            log: parts.log,
-            windowMs: parts.claimWindowMs,
+            log: dependencies.log,
+            windowMs: dependencies.claimWindowMs,
             claimTimeoutMs,
-            joinPatienceMs: parts.joinPatienceMs ?? joinPatienceMs,
+            joinTimeoutMs: dependencies.joinTimeoutMs ?? defaultJoinTimeoutMs,
         };
     }
 
-    /** Requests that this entry has accepted and not yet ended. */
+    /** Number of requests in progress, queued ones included. */
     public get running(): number {
         return this.runningCount;
     }
 
-    /** Upstreams have changed: some attempts may be lost, and some that wait may go on. */
+    /** Call when upstreams have changed: aborts lost attempts and dispatches queued requests. */
     public upstreamsChanged(): void {
-        this.watch.check();
-        this.queues.pump();
+        this.attemptMonitor.abortLostAttempts();
+        this.queues.dispatch();
     }
 
-    /** Takes no new work, and lets those go that only wait. */
+    /** Rejects new and queued requests; running ones continue. */
     public close(): void {
         this.stopping = true;
         this.queues.close();
     }
 
-    /** The whole answer to a job; throws a `RequestFailure` where there is none. */
-    public async *handle(job: Job): AsyncGenerator<AnswerEvent> {
+    /** Yields the complete response; throws a `RequestFailure` otherwise. */
+    public async *handle(job: Job): AsyncGenerator<ResponseEvent> {
         if (this.stopping) {
-            throw new RequestFailure(ProblemCode.stopping, "not-run", "the entry is stopping", 1000);
+            throw new RequestFailure(ProblemCode.stopping, "not-run", "entry is shutting down", 1000);
         }
         const startedAt = performance.now();
         let started = false;
@@ -96,7 +96,7 @@
                 if (!started) {
                     started = true;
                     this.meter.started(job.demandOf);
-                    this.parts.metrics.histogram("first_byte", { resource: job.demandOf }).record(
+                    this.dependencies.metrics.histogram("first_byte", { resource: job.demandOf }).record(
                         performance.now() - startedAt,
                     );
                 }
@@ -106,41 +106,45 @@
         }
         catch (err) {
             outcome = err instanceof RequestFailure ? err.outcome : "error";
-            this.noteFailure(job, err);
+            this.recordFailure(job, err);
             throw err;
         }
         finally {
             this.runningCount -= 1;
             this.meter.ended(job.demandOf, started);
-            this.noteEnd(job, outcome, performance.now() - startedAt);
+            this.recordCompletion(job, outcome, performance.now() - startedAt);
         }
     }
 
-    private execute(job: Job): AsyncGenerator<AnswerEvent> {
+    private execute(job: Job): AsyncGenerator<ResponseEvent> {
         return job.idempotencyKey === undefined
-            ? new Execution(this.keyed, job).run()
-            : new KeyedExecution(this.keyed, job, `${job.resource}/${job.idempotencyKey}`).run();
+            ? new Execution(this.executionDependencies, job).run()
+            : new IdempotentExecution(this.executionDependencies, job, `${job.resource}/${job.idempotencyKey}`).run();
     }
 
-    private noteFailure(job: Job, err: unknown): void {
+    private recordFailure(job: Job, err: unknown): void {
         const detail = err instanceof RequestFailure ? err.message : String(err);
-        this.parts.timeline.record("request.failed", { requestId: job.requestId, resource: job.resource, detail });
+        this.dependencies.timeline.record("request.failed", {
+            requestId: job.requestId,
+            resource: job.resource,
+            detail,
+        });
     }
 
-    private noteEnd(job: Job, outcome: string, ms: number): void {
-        this.parts.metrics.count("requests_total", { resource: job.demandOf, outcome });
-        this.parts.metrics.histogram("request", { resource: job.demandOf }).record(ms);
+    private recordCompletion(job: Job, outcome: string, ms: number): void {
+        this.dependencies.metrics.count("requests_total", { resource: job.demandOf, outcome });
+        this.dependencies.metrics.histogram("request", { resource: job.demandOf }).record(ms);
         if (outcome === "whole") {
-            this.handled += 1;
-            if (this.handled % sampleEvery === 1) {
+            this.completedCount += 1;
+            if (this.completedCount % timelineSampleInterval === 1) {
                 const detail = `whole after ${ms.toFixed(1)} ms`;
-                this.parts.timeline.record("request.answered", {
+                this.dependencies.timeline.record("request.answered", {
                     requestId: job.requestId,
                     resource: job.resource,
                     detail,
                 });
             }
         }
-        this.queues.pump();
+        this.queues.dispatch();
     }
 }
--- a/packages/requests/src/jobs.ts
+++ b/packages/requests/src/jobs.ts
@@ -1,4 +1,4 @@
-/** A caller's request, ready to be run. */
+/** A client request that has been parsed and validated. */
 import { type RoutedReplica } from "@winchpath/routing";
 import { type Header } from "@winchpath/upstream";
 
@@ -6,45 +6,45 @@
     readonly requestId: string;
     /** Declared name of the model, adapter or service. */
     readonly resource: string;
-    /** Model whose demand it counts as; the service's name for a service. */
+    /** Name under which demand is counted: the model, or the service. */
     readonly demandOf: string;
     readonly method: string;
     readonly path: string;
     readonly headers: readonly Header[];
-    /** Whether it may be run again when it is not known whether it ran. */
+    /** Whether the request may be run again if an earlier attempt may have run. */
     readonly repeatable: boolean;
     readonly idempotencyKey: string | undefined;
-    /** Digest of what is asked for. */
+    /** Digest of method, URL and body. */
     readonly fingerprint: string;
-    /** Who asks; overload is shared out fairly between callers. */
+    /** Client identity for fair queueing. */
     readonly caller: string;
-    /** 9 goes first. */
+    /** 9 is the highest. */
     readonly priority: number;
-    /** Digest of the prompt's beginning. */
+    /** Digest of the prompt prefix, for cache affinity. */
     readonly prefix: string | undefined;
-    /** Date.now() by which the answer has to be whole. */
+    /** Date.now() by which the response must be complete. */
     readonly deadline: number;
-    /** Date.now() after which it need not start any more while others keep the replicas busy. */
+    /** Date.now() after which the request is rejected if all replicas are still busy. */
     readonly startBy: number;
-    /** Aborted when the caller leaves. */
+    /** Aborted when the client disconnects. */
     readonly signal: AbortSignal;
-    /** Whether a whole answer ends with the event-stream's end mark. */
+    /** Whether a complete response ends with the event stream's end marker. */
     readonly endsWithMark: (status: number, headers: readonly Header[]) => boolean;
-    /** The body for a replica that knows the target as `item`. */
+    /** Request body for a replica that serves the target as `item`. */
     bodyFor(item: string): Uint8Array;
-    /** Replicas that are ready now. */
+    /** Replicas that are currently ready. */
     replicas(): RoutedReplica[];
-    /** Why no replica will be ready however long it waits; undefined where one may be. */
+    /** Why no replica can become ready; undefined if one may. */
     unplaceable(): string | undefined;
-    /** Version of the declaration that the entry acts on. */
+    /** Revision of the declaration that this entry uses. */
     revision(): number;
 }
 
-/** Part of an answer. */
-export type AnswerEvent =
+/** Part of a response. */
+export type ResponseEvent =
     | { readonly tag: "head"; readonly status: number; readonly headers: readonly Header[]; }
     | { readonly tag: "body"; readonly bytes: Uint8Array; };
 
-export function timeLeft(job: Job): number {
+export function remainingMs(job: Job): number {
     return Math.max(1, job.deadline - Date.now());
 }
--- a/packages/requests/src/keyed.ts
+++ b/packages/requests/src/keyed.ts
@@ -1,179 +1,187 @@
-/** Runs a request that may not be repeated and that carries an idempotency key: it is claimed before it is sent. */
+/** Runs a non-repeatable request with an idempotency key: the key is claimed in the replicated log before sending. */
 import { create } from "@bufbuild/protobuf";
 import { messageOf, newIdentity, sleep } from "@winchpath/core";
 import { type RoutedReplica } from "@winchpath/routing";
 import { type Header, HeaderSchema, Refusal } from "@winchpath/upstream";
 import { type AttemptPlan } from "./attempts.js";
-import { Execution, type ExecutionParts } from "./executions.js";
-import { type AnswerEvent, type Job } from "./jobs.js";
+import { Execution, type ExecutionDependencies } from "./executions.js";
+import { type Job, type ResponseEvent } from "./jobs.js";
 import { ProblemCode, RequestFailure } from "./problems.js";
-import { type AttemptEnd } from "./readers.js";
-import { type Claim, type ClaimCommand, type ClaimResult, type KeptAnswer } from "./schemas.js";
+import { type AttemptResult } from "./readers.js";
+import { type Claim, type ClaimCommand, type ClaimResult, type StoredResponse } from "./schemas.js";
 
-/** Bodies up to this size are kept with the claim. */
-const maxKeptBytes = 8 * 1024;
-const maxRounds = 8;
-const controlRetryMs = 1000;
-const joinRetryMs = 20;
+/** Responses with larger bodies are not stored with the claim. */
+const maxStoredBodyBytes = 8 * 1024;
+const maxClaimSteps = 8;
+const retryAfterMs = 1000;
+const attachRetryMs = 20;
 
-/** The control log, as this slice needs it. */
+/** The part of the control log that claims need. */
 export interface ClaimLog {
-    /** Commits a command and gives its result; fails when it is not known to be committed in time. */
+    /** Commits a command and returns its result; rejects if the commit is not confirmed in time. */
     propose(command: ClaimCommand, timeoutMs: number): Promise<ClaimResult>;
 }
 
-export interface KeyedParts extends ExecutionParts {
+export interface IdempotentExecutionDependencies extends ExecutionDependencies {
     readonly log: ClaimLog;
-    /** How long a claim lasts, in milliseconds. */
+    /** Lifetime of a claim, in milliseconds. */
     readonly windowMs: number;
-    /** Time that one write of a claim may take, in milliseconds. */
+    /** Timeout of one log write, in milliseconds. */
     readonly claimTimeoutMs: number;
-    /** How long a copy waits for the claimed attempt to be sent, in milliseconds. */
-    readonly joinPatienceMs: number;
+    /** How long a duplicate waits for the claimed attempt to be sent, in milliseconds. */
+    readonly joinTimeoutMs: number;
 }
 
-/** What the log says next, or that the caller has the whole answer. */
-type Step = ClaimResult | { readonly tag: "whole"; };
+/** Result of the latest claim command, or "whole" once the client has the complete response. */
+type ClaimStep = ClaimResult | { readonly tag: "whole"; };
 
-export class KeyedExecution {
+export class IdempotentExecution {
     private readonly execution: Execution;
     private readonly identity = newIdentity();
-    private readonly collector = new AnswerCollector();
+    private readonly collector = new ResponseCollector();
     private mayHaveRun = false;
-    /** The replica of this entry's own newest attempt. */
-    private chosen: RoutedReplica | undefined;
+    /** Replica of this entry's latest attempt. */
+    private selectedReplica: RoutedReplica | undefined;
 
-    public constructor(private readonly parts: KeyedParts, private readonly job: Job, private readonly key: string) {
-        this.execution = new Execution(parts, job);
+    public constructor(
+        private readonly dependencies: IdempotentExecutionDependencies,
+        private readonly job: Job,
+        private readonly key: string,
+    ) {
+        this.execution = new Execution(dependencies, job);
     }
 
-    /** The whole answer, of this entry's run or of the one that came first. */
-    public async *run(): AsyncGenerator<AnswerEvent> {
-        this.parts.budget.earn();
-        let step: Step = await this.claim();
-        for (let round = 0; round < maxRounds; round++) {
+    /** Yields the complete response, from this entry's attempt or from that of an earlier duplicate. */
+    public async *run(): AsyncGenerator<ResponseEvent> {
+        this.dependencies.budget.deposit();
+        let step: ClaimStep = await this.claim();
+        for (let stepCount = 0; stepCount < maxClaimSteps; stepCount++) {
             switch (step.tag) {
                 case "whole":
                     return;
                 case "mismatch":
-                    throw new RequestFailure(ProblemCode.keyReused, "not-run", "the key was used for another request");
+                    throw new RequestFailure(
+                        ProblemCode.keyReused,
+                        "not-run",
+                        "idempotency key was used for a different request",
+                    );
                 case "free":
                     step = await this.claim();
                     break;
                 case "mine":
-                    step = yield* this.runMine(step.claim);
+                    step = yield* this.runOwnAttempt(step.claim);
                     break;
                 case "held":
-                    step = yield* this.takePart(step.claim);
+                    step = yield* this.followAttempt(step.claim);
                     break;
             }
         }
         if (step.tag !== "whole") {
-            throw this.failure("others kept taking the request over");
+            throw this.failure("request was repeatedly reassigned to other entries");
         }
     }
 
-    /** Runs the attempt that the log has given to this entry. */
-    private async *runMine(claim: Claim): AsyncGenerator<AnswerEvent, Step> {
-        const end = yield* this.attempt(planOf(claim, this.chosen!));
-        if (end.tag === "whole") {
-            this.keepAnswer(claim);
+    /** Runs the attempt that is assigned to this entry. */
+    private async *runOwnAttempt(claim: Claim): AsyncGenerator<ResponseEvent, ClaimStep> {
+        const result = yield* this.attempt(createPlan(claim, this.selectedReplica!));
+        if (result.tag === "whole") {
+            this.storeResponse(claim);
             return { tag: "whole" };
         }
-        if (end.tag === "refused") {
-            return this.passOn(claim);
+        if (result.tag === "refused") {
+            return this.reassign(claim);
         }
         this.mayHaveRun = true;
-        throw this.failure(end.tag === "different" ? "the answer began otherwise" : end.message);
+        throw this.failure(result.tag === "different" ? "attempt returned a different response" : result.message);
     }
 
-    /** Takes part in another's attempt; takes the request over only where that attempt is settled never to run. */
-    private async *takePart(claim: Claim): AsyncGenerator<AnswerEvent, Step> {
+    /** Follows another entry's attempt; takes over only once that attempt is certain never to run. */
+    private async *followAttempt(claim: Claim): AsyncGenerator<ResponseEvent, ClaimStep> {
         if (claim.answer !== undefined) {
-            yield* keptEvents(claim.answer);
+            yield* storedResponseEvents(claim.answer);
             return { tag: "whole" };
         }
-        const plan = { ...planOf(claim), attach: true };
-        const joined = yield* this.join(plan);
-        if (joined.tag === "whole") {
-            return joined;
+        const plan = { ...createPlan(claim), attach: true };
+        const attached = yield* this.attach(plan);
+        if (attached.tag === "whole") {
+            return attached;
         }
-        const verdict = await this.execution.verdictOn(plan);
-        this.note("request.joined", `attempt=${claim.attempt} at ${claim.upstream}: ${verdict}`);
-        if (verdict === "never") {
-            return this.passOn(claim);
+        const status = await this.execution.settleAttempt(plan);
+        this.recordEvent("request.joined", `attempt=${claim.attempt} at ${claim.upstream}: ${status}`);
+        if (status === "never") {
+            return this.reassign(claim);
         }
         this.mayHaveRun = true;
-        if (verdict === "unknown") {
+        if (status === "unknown") {
             throw claim.ran
-                ? answerNotKept()
-                : this.failure("the upstream that had the request does not answer for it");
+                ? responseNotStored()
+                : this.failure("agent that had the request cannot report its outcome");
         }
-        const end = yield* this.attempt(plan);
-        if (end.tag === "whole") {
+        const result = yield* this.attempt(plan);
+        if (result.tag === "whole") {
             return { tag: "whole" };
         }
-        throw end.tag === "refused" || claim.ran
-            ? answerNotKept()
-            : this.failure(end.tag === "different" ? "the answer began otherwise" : end.message);
+        throw result.tag === "refused" || claim.ran
+            ? responseNotStored()
+            : this.failure(result.tag === "different" ? "attempt returned a different response" : result.message);
     }
 
-    /** Attaches to another's attempt. Its holder is given a little time to send it before it would be fenced off. */
-    private async *join(plan: AttemptPlan): AsyncGenerator<AnswerEvent, AttemptEnd> {
-        for (let waitedMs = 0;; waitedMs += joinRetryMs) {
-            const end = yield* this.attempt(plan);
-            const notThere = end.tag === "refused" && end.refusal === Refusal.UNKNOWN_REQUEST;
-            if (!notThere || waitedMs >= this.parts.joinPatienceMs || this.job.signal.aborted) {
-                return end;
+    /** Attaches to another entry's attempt; gives that entry some time to send it before it is fenced. */
+    private async *attach(plan: AttemptPlan): AsyncGenerator<ResponseEvent, AttemptResult> {
+        for (let waitedMs = 0;; waitedMs += attachRetryMs) {
+            const result = yield* this.attempt(plan);
+            const isUnknown = result.tag === "refused" && result.refusal === Refusal.UNKNOWN_REQUEST;
+            if (!isUnknown || waitedMs >= this.dependencies.joinTimeoutMs || this.job.signal.aborted) {
+                return result;
             }
-            await sleep(joinRetryMs, this.job.signal);
+            await sleep(attachRetryMs, this.job.signal);
         }
     }
 
-    /** The claimed attempt will never run: the next one goes to whoever asks first. */
-    private async passOn(claim: Claim): Promise<Step> {
+    /** Claims the next attempt after one that never runs; the first entry to propose it wins. */
+    private async reassign(claim: Claim): Promise<ClaimStep> {
         try {
-            this.chosen = await this.admitAgain();
+            this.selectedReplica = await this.admitRetry();
         }
         catch (err) {
-            return this.giveUp(claim, err);
+            return this.release(claim, err);
         }
-        this.note("request.passed-on", `attempt=${claim.attempt + 1} to ${this.chosen.upstream}`);
+        this.recordEvent("request.passed-on", `attempt=${claim.attempt + 1} to ${this.selectedReplica.upstream}`);
         return this.propose({
             op: "reassign",
             key: this.key,
             fromAttempt: claim.attempt,
             holder: this.holderOf(claim.attempt + 1),
-            ...placeOf(this.chosen),
+            ...attemptLocation(this.selectedReplica),
         });
     }
 
-    private async admitAgain(): Promise<RoutedReplica> {
+    private async admitRetry(): Promise<RoutedReplica> {
         if (this.job.signal.aborted) {
-            throw new RequestFailure(ProblemCode.callerLeft, "not-run", "the caller left");
+            throw new RequestFailure(ProblemCode.callerLeft, "not-run", "client disconnected");
         }
-        if (!this.parts.budget.spend()) {
+        if (!this.dependencies.budget.tryWithdraw()) {
             throw new RequestFailure(
                 ProblemCode.overloaded,
                 "not-run",
-                "no retries are left in the budget",
-                controlRetryMs,
+                "retry budget exhausted",
+                retryAfterMs,
             );
         }
         return this.execution.admit();
     }
 
-    /** Says `not-run` only once no other entry can run the request on this claim. */
-    private async giveUp(claim: Claim, err: unknown): Promise<Step> {
-        const released = await this.propose({ op: "release", key: this.key, attempt: claim.attempt });
-        if (released.tag === "held") {
-            return released;
+    /** Releases the claim before failing, so that `not-run` is only reported once no other entry can run the request. */
+    private async release(claim: Claim, err: unknown): Promise<ClaimStep> {
+        const result = await this.propose({ op: "release", key: this.key, attempt: claim.attempt });
+        if (result.tag === "held") {
+            return result;
         }
         throw err;
     }
 
-    private async *attempt(plan: AttemptPlan): AsyncGenerator<AnswerEvent, AttemptEnd> {
-        const events = this.execution.attemptAndResume(plan);
+    private async *attempt(plan: AttemptPlan): AsyncGenerator<ResponseEvent, AttemptResult> {
+        const events = this.execution.runAttempt(plan);
         for (;;) {
             const { value, done } = await events.next();
             if (done) {
@@ -184,48 +192,48 @@
         }
     }
 
-    private async claim(): Promise<Step> {
-        this.chosen = await this.execution.admit();
+    private async claim(): Promise<ClaimStep> {
+        this.selectedReplica = await this.execution.admit();
         return this.propose({
             op: "claim",
             key: this.key,
             requestId: this.job.requestId,
             fingerprint: this.job.fingerprint,
             holder: this.holderOf(1),
-            windowMs: this.parts.windowMs,
-            ...placeOf(this.chosen),
+            windowMs: this.dependencies.windowMs,
+            ...attemptLocation(this.selectedReplica),
         });
     }
 
     private async propose(command: ClaimCommand): Promise<ClaimResult> {
         const startedAt = performance.now();
         try {
-            return await this.parts.log.propose(command, this.parts.claimTimeoutMs);
+            return await this.dependencies.log.propose(command, this.dependencies.claimTimeoutMs);
         }
         catch (err) {
-            // Nothing was sent on this claim; but an earlier attempt may have been.
+            // Nothing was sent under this claim, but an earlier attempt may have run.
             const outcome = this.mayHaveRun ? "unknown" : "not-run";
-            throw new RequestFailure(ProblemCode.control, outcome, messageOf(err), controlRetryMs);
+            throw new RequestFailure(ProblemCode.control, outcome, messageOf(err), retryAfterMs);
         }
         finally {
-            this.parts.metrics.histogram("claim", { op: command.op }).record(performance.now() - startedAt);
+            this.dependencies.metrics.histogram("claim", { op: command.op }).record(performance.now() - startedAt);
         }
     }
 
-    /** Copies that come after the agent has forgotten the answer find it with the claim. */
-    private keepAnswer(claim: Claim): void {
-        const answer = this.collector.answer();
-        const command: ClaimCommand = { op: "answer", key: this.key, attempt: claim.attempt, answer };
-        this.propose(command).catch(err => this.note("request.answer-not-kept", messageOf(err)));
+    /** Stores the response with the claim for duplicates that arrive after the agent has dropped it. */
+    private storeResponse(claim: Claim): void {
+        const response = this.collector.response();
+        const command: ClaimCommand = { op: "answer", key: this.key, attempt: claim.attempt, answer: response };
+        this.propose(command).catch(err => this.recordEvent("request.answer-not-kept", messageOf(err)));
     }
 
-    /** New for each attempt, so that the log's answer to an earlier one is not taken for this one's. */
+    /** Unique per attempt, so that the claim of an earlier attempt is not mistaken for this one's. */
     private holderOf(attempt: number): string {
         return `${this.identity}.${attempt}`;
     }
 
-    private note(kind: string, detail: string): void {
-        this.parts.timeline.record(kind, { requestId: this.job.requestId, resource: this.job.resource, detail });
+    private recordEvent(kind: string, detail: string): void {
+        this.dependencies.timeline.record(kind, { requestId: this.job.requestId, resource: this.job.resource, detail });
     }
 
     private failure(detail: string): RequestFailure {
@@ -233,28 +241,28 @@
     }
 }
 
-/** Collects a small answer as it passes. */
-class AnswerCollector {
+/** Buffers a response up to the storage limit. */
+class ResponseCollector {
     private status = 0;
     private headers: readonly Header[] = [];
     private body: Uint8Array[] = [];
     private bytes = 0;
 
-    public add(event: AnswerEvent): void {
+    public add(event: ResponseEvent): void {
         if (event.tag === "head") {
             this.status = event.status;
             this.headers = event.headers;
             return;
         }
         this.bytes += event.bytes.length;
-        if (this.bytes <= maxKeptBytes) {
+        if (this.bytes <= maxStoredBodyBytes) {
             this.body.push(event.bytes);
         }
     }
 
-    /** The answer, unless it is too large to keep. */
-    public answer(): KeptAnswer | undefined {
-        if (this.bytes > maxKeptBytes) {
+    /** The buffered response, or undefined if it is too large. */
+    public response(): StoredResponse | undefined {
+        if (this.bytes > maxStoredBodyBytes) {
             return undefined;
         }
         const headers = this.headers.map(({ name, value }): [string, string] => [name, value]);
@@ -262,23 +270,27 @@
     }
 }
 
-function* keptEvents(answer: KeptAnswer): Generator<AnswerEvent> {
+function* storedResponseEvents(answer: StoredResponse): Generator<ResponseEvent> {
     const headers = answer.headers.map(([name, value]) => create(HeaderSchema, { name, value }));
     yield { tag: "head", status: answer.status, headers };
     yield { tag: "body", bytes: Buffer.from(answer.body, "base64") };
 }
 
-function placeOf({ upstream, url, incarnation, sequence }: RoutedReplica) {
+function attemptLocation({ upstream, url, incarnation, sequence }: RoutedReplica) {
     return { upstream, url, incarnation, seenReport: Number(sequence) };
 }
 
-function answerNotKept(): RequestFailure {
-    return new RequestFailure(ProblemCode.answerLost, "ran", "it ran before, and its answer is not kept any more");
+function responseNotStored(): RequestFailure {
+    return new RequestFailure(
+        ProblemCode.answerLost,
+        "ran",
+        "request has already run, and its response is no longer stored",
+    );
 }
 
-/** The claimed attempt; `chosen` is this entry's own choice where the attempt is its own. */
-function planOf(claim: Claim, chosen?: RoutedReplica): AttemptPlan {
+/** Plan of the claimed attempt; `selectedReplica` is set for this entry's own attempts. */
+function createPlan(claim: Claim, selectedReplica?: RoutedReplica): AttemptPlan {
     const { requestId, attempt, upstream, url, incarnation, seenReport } = claim;
-    const replica = { upstream, url, incarnation, item: chosen?.item ?? "", sequence: BigInt(seenReport) };
+    const replica = { upstream, url, incarnation, item: selectedReplica?.item ?? "", sequence: BigInt(seenReport) };
     return { requestId, attempt, replica, attach: false };
 }
--- a/packages/requests/src/meters.ts
+++ b/packages/requests/src/meters.ts
@@ -1,4 +1,4 @@
-/** Counts what an entry is asked for, for the placement's view of demand. */
+/** Measures demand at an entry for placement. */
 
 interface Count {
     arrivals: number;
@@ -7,7 +7,7 @@
     refused: number;
 }
 
-/** Demand for one model since the last reading. */
+/** Demand for one model since the previous `read`. */
 export interface DemandSample extends Readonly<Count> {
     readonly name: string;
 }
@@ -21,13 +21,13 @@
         count.waiting += 1;
     }
 
-    /** It went from waiting to an upstream. */
+    /** A waiting request was sent to an upstream. */
     public started(name: string): void {
         this.of(name).waiting -= 1;
         this.of(name).running += 1;
     }
 
-    /** It ended; `started` says whether it had gone to an upstream. */
+    /** A request ended; `started` tells whether it had been sent to an upstream. */
     public ended(name: string, started: boolean): void {
         const count = this.of(name);
         if (started) {
@@ -38,7 +38,7 @@
         count.refused += 1;
     }
 
-    /** What was counted; arrivals and refusals begin anew. */
+    /** Returns the counts, and resets arrivals and refusals. */
     public read(): DemandSample[] {
         const samples = [...this.counts].map(([name, count]) => ({ name, ...count }));
         for (const [name, count] of this.counts) {
--- a/packages/requests/src/parsers.ts
+++ b/packages/requests/src/parsers.ts
@@ -1,4 +1,4 @@
-/** Makes jobs of callers' HTTP requests. */
+/** Parses clients' HTTP requests into jobs. */
 import { create } from "@bufbuild/protobuf";
 import { newIdentity, safeParse } from "@winchpath/core";
 import { type Catalogue, type Model, type Target } from "@winchpath/declarations";
@@ -10,15 +10,15 @@
 import { type Job } from "./jobs.js";
 import { ProblemCode, RequestFailure } from "./problems.js";
 
-const keyHeader = "idempotency-key";
+const idempotencyKeyHeader = "idempotency-key";
 const idempotentHeader = "winchpath-idempotent";
 const timeoutHeader = "winchpath-timeout-ms";
 const callerHeader = "winchpath-caller";
-/** Header by which upstreams learn the request id. */
+/** Header that carries the request ID to upstreams and clients. */
 export const requestIdHeader = "winchpath-request-id";
 /** Methods that HTTP defines as idempotent. */
 const idempotentMethods = new Set(["GET", "HEAD", "OPTIONS", "PUT", "DELETE"]);
-/** Characters of the first message by which prompts are told apart for caching. */
+/** Length of the first message's prefix used for cache affinity, in characters. */
 const prefixLength = 256;
 const okStatus = 200;
 const maxKeyLength = 200;
@@ -29,17 +29,17 @@
     stream: Type.Optional(Type.Boolean()),
 });
 
-/** What parsing needs to know of the deployment. */
+/** Deployment state needed for parsing. */
 export interface ParseContext {
     readonly catalogue: () => Catalogue;
     readonly table: RoutingTable;
-    /** Why a model can't be placed until declarations or hardware change; undefined where it can. */
+    /** Why a model cannot be placed until declarations or hardware change; undefined if it can. */
     readonly unplaceable: (model: Model) => string | undefined;
     readonly requestMs: number;
     readonly firstTokenMs: number;
 }
 
-/** A chat completion in the OpenAI form. */
+/** Parses a chat completion in the OpenAI format. */
 export function parseChat(req: FastifyRequest, signal: AbortSignal, context: ParseContext): Job {
     const body = parseJson(req.body as Buffer);
     const checked = safeParse(ChatRequest, body);
@@ -64,18 +64,18 @@
     };
 }
 
-/** A call of a plain service. */
+/** Parses a request to a plain service. */
 export function parseServiceCall(req: FastifyRequest, signal: AbortSignal, context: ParseContext): Job {
     const { name, "*": rest } = req.params as { name: string; "*": string; };
     if (!context.catalogue().services.has(name)) {
-        throw new RequestFailure(ProblemCode.unknownTarget, "not-run", `no service ${name} is declared`);
+        throw new RequestFailure(ProblemCode.unknownTarget, "not-run", `service ${name} is not declared`);
     }
     const common = commonJob(req, signal, context, idempotentMethods.has(req.method));
     const query = req.url.includes("?") ? req.url.slice(req.url.indexOf("?")) : "";
     const body = (req.body as Buffer | undefined) ?? Buffer.alloc(0);
     return {
         ...common,
-        // A service has no target for its first byte.
+        // Services have no time-to-first-byte target.
         startBy: common.deadline,
         resource: name,
         demandOf: name,
@@ -92,19 +92,23 @@
 }
 
 function commonJob(req: FastifyRequest, signal: AbortSignal, context: ParseContext, mayRepeat: boolean) {
-    const key = oneHeader(req, keyHeader);
+    const key = firstHeaderValue(req, idempotencyKeyHeader);
     if (key !== undefined && (key.length === 0 || key.length > maxKeyLength)) {
-        throw new RequestFailure(ProblemCode.invalid, "not-run", `${keyHeader} has 1 to ${maxKeyLength} characters`);
+        throw new RequestFailure(
+            ProblemCode.invalid,
+            "not-run",
+            `${idempotencyKeyHeader} must have 1 to ${maxKeyLength} characters`,
+        );
     }
-    const caller = oneHeader(req, callerHeader) ?? digest(oneHeader(req, "authorization") ?? req.ip);
+    const caller = firstHeaderValue(req, callerHeader) ?? digest(firstHeaderValue(req, "authorization") ?? req.ip);
     const requestId = newIdentity();
     const now = Date.now();
-    const timeoutMs = timeoutOf(req, context.requestMs);
+    const timeoutMs = requestTimeoutMs(req, context.requestMs);
     return {
         requestId,
         headers: [...headersOf(req), create(HeaderSchema, { name: requestIdHeader, value: requestId })],
-        repeatable: mayRepeat && key === undefined && oneHeader(req, idempotentHeader) !== "false",
-        // A key is one caller's own.
+        repeatable: mayRepeat && key === undefined && firstHeaderValue(req, idempotentHeader) !== "false",
+        // Keys are scoped to the client.
         idempotencyKey: key === undefined ? undefined : `${caller}/${key}`,
         fingerprint: digest(`${req.method} ${req.url}\n${String((req.body as Buffer | undefined) ?? "")}`),
         caller,
@@ -117,20 +121,24 @@
 function findTarget(context: ParseContext, name: string): Target {
     const target = context.catalogue().target(name);
     if (target === undefined) {
-        throw new RequestFailure(ProblemCode.unknownTarget, "not-run", `no model or adapter ${name} is declared`);
+        throw new RequestFailure(ProblemCode.unknownTarget, "not-run", `model or adapter ${name} is not declared`);
     }
     return target;
 }
 
-function timeoutOf(req: FastifyRequest, mostMs: number): number {
-    const asked = oneHeader(req, timeoutHeader);
-    if (asked === undefined) {
-        return mostMs;
+function requestTimeoutMs(req: FastifyRequest, maxMs: number): number {
+    const requested = firstHeaderValue(req, timeoutHeader);
+    if (requested === undefined) {
+        return maxMs;
     }
-    if (!/^[1-9]\d{0,8}$/.test(asked)) {
-        throw new RequestFailure(ProblemCode.invalid, "not-run", `${timeoutHeader} is a number of milliseconds`);
+    if (!/^[1-9]\d{0,8}$/.test(requested)) {
+        throw new RequestFailure(
+            ProblemCode.invalid,
+            "not-run",
+            `${timeoutHeader} must be a positive number of milliseconds`,
+        );
     }
-    return Math.min(mostMs, Number(asked));
+    return Math.min(maxMs, Number(requested));
 }
 
 function parseJson(body: Buffer | undefined): unknown {
@@ -138,7 +146,7 @@
         return JSON.parse((body ?? Buffer.alloc(0)).toString());
     }
     catch {
-        throw new RequestFailure(ProblemCode.invalid, "not-run", "the body is not JSON");
+        throw new RequestFailure(ProblemCode.invalid, "not-run", "request body is not valid JSON");
     }
 }
 
@@ -149,7 +157,7 @@
     });
 }
 
-function oneHeader(req: FastifyRequest, name: string): string | undefined {
+function firstHeaderValue(req: FastifyRequest, name: string): string | undefined {
     const value = req.headers[name];
     return Array.isArray(value) ? value[0] : value;
 }
--- a/packages/requests/src/problems.ts
+++ b/packages/requests/src/problems.ts
@@ -1,9 +1,9 @@
-/** What a caller is told of a request that failed: problem details (RFC 9457) with an outcome. */
+/** Errors returned to clients: problem details (RFC 9457) with an outcome. */
 
-/** Whether the request was run at an upstream. */
+/** Whether an upstream ran the request. */
 export type Outcome = "not-run" | "ran" | "unknown";
 
-/** Every way in which a request can end without its whole answer. */
+/** Every error code with which a request can fail. */
 export const ProblemCode = {
     invalid: "invalid-request",
     unknownTarget: "unknown-target",
@@ -56,13 +56,12 @@
     "internal-error": "The entry failed",
 };
 
-/** A request's failure. */
 export class RequestFailure extends Error {
     public constructor(
         public readonly code: ProblemCode,
         public readonly outcome: Outcome,
         public readonly detail: string,
-        /** When coming back helps, in milliseconds from now. */
+        /** Delay after which the client should retry, in milliseconds. */
         public readonly retryAfterMs?: number,
     ) {
         super(`${code} (${outcome}): ${detail}`);
@@ -89,7 +88,7 @@
     return { type: `urn:winchpath:problem:${code}`, title: titles[code], status, detail, code, outcome, requestId };
 }
 
-/** Value of the Retry-After header: whole seconds, at least one. */
+/** Formats a Retry-After header: whole seconds, at least one. */
 export function retryAfterSeconds(ms: number): string {
     return String(Math.max(1, Math.ceil(ms / 1000)));
 }
--- a/packages/requests/src/progress.ts
+++ b/packages/requests/src/progress.ts
@@ -1,62 +1,62 @@
-/** How far the caller has got the answer, so that another attempt can go on from there. */
+/** Tracks how much of a response the client has received, so that a retry can continue from there. */
 import { createHash, type Hash } from "node:crypto";
 
-/** Bytes at the end of an answer in which its end mark has to stand. */
+/** Number of final bytes searched for the end marker. */
 const tailBytes = 64;
 
-export class Progress {
+export class ResponseProgress {
     public headSent = false;
     private tail: Buffer = Buffer.alloc(0);
     private sentBytes = 0;
-    private readonly sent: Hash = createHash("sha256");
+    private readonly sentHash: Hash = createHash("sha256");
 
-    /** Body bytes that were handed to the caller. */
+    /** Body bytes sent to the client. */
     public get bytes(): number {
         return this.sentBytes;
     }
 
     public add(bytes: Uint8Array): void {
         this.sentBytes += bytes.length;
-        this.sent.update(bytes);
+        this.sentHash.update(bytes);
         this.tail = Buffer.concat([this.tail, bytes.subarray(-tailBytes)]).subarray(-tailBytes);
     }
 
-    /** Whether the caller's answer ends with `mark`, give or take white space. */
-    public endsWith(mark: Buffer): boolean {
-        return this.tail.includes(mark);
+    /** Whether the last bytes sent to the client contain `marker`. */
+    public endsWith(marker: Buffer): boolean {
+        return this.tail.includes(marker);
     }
 
-    /** Checks that a second answer begins as the first did, and leaves out what the caller has already. */
-    public replay(): Replay {
-        return new Replay(this.sentBytes, this.sent.copy().digest("hex"));
+    /** Creates a filter for the response of a retry. */
+    public createReplayFilter(): ReplayFilter {
+        return new ReplayFilter(this.sentBytes, this.sentHash.copy().digest("hex"));
     }
 }
 
-/** The beginning of an answer that has to be the same as that of an earlier attempt. */
-export class Replay {
-    private readonly seen: Hash = createHash("sha256");
-    private left: number;
+/** Removes the bytes that the client already has, after verifying that they match the earlier attempt's. */
+export class ReplayFilter {
+    private readonly prefixHash: Hash = createHash("sha256");
+    private remainingBytes: number;
 
     public constructor(bytes: number, private readonly expected: string) {
-        this.left = bytes;
+        this.remainingBytes = bytes;
     }
 
-    /** Whether the whole beginning was seen. */
+    /** Whether the whole prefix has been received. */
     public get done(): boolean {
-        return this.left === 0;
+        return this.remainingBytes === 0;
     }
 
-    /** What of `bytes` is new to the caller; undefined where the beginnings differ. */
-    public pass(bytes: Uint8Array): Uint8Array | undefined {
-        if (this.left === 0) {
+    /** Returns the part of `bytes` that is new to the client, or undefined if the prefixes differ. */
+    public filter(bytes: Uint8Array): Uint8Array | undefined {
+        if (this.remainingBytes === 0) {
             return bytes;
         }
-        const known = Math.min(this.left, bytes.length);
-        this.seen.update(bytes.subarray(0, known));
-        this.left -= known;
-        if (this.left > 0) {
+        const overlap = Math.min(this.remainingBytes, bytes.length);
+        this.prefixHash.update(bytes.subarray(0, overlap));
+        this.remainingBytes -= overlap;
+        if (this.remainingBytes > 0) {
             return new Uint8Array();
         }
-        return this.seen.copy().digest("hex") === this.expected ? bytes.subarray(known) : undefined;
+        return this.prefixHash.copy().digest("hex") === this.expected ? bytes.subarray(overlap) : undefined;
     }
 }
--- a/packages/requests/src/quarantines.ts
+++ b/packages/requests/src/quarantines.ts
@@ -1,4 +1,4 @@
-/** Requests under which upstreams end, at our own interface. Each process there holds the log's state itself. */
+/** Quarantine of requests that crash upstreams, for the project's own HTTP interface; the state is replicated to every process. */
 import { type EventLog, type Metrics, steadyNow } from "@winchpath/core";
 import {
     type CrashBook,
@@ -11,78 +11,78 @@
 import { type Job } from "./jobs.js";
 import { ProblemCode, RequestFailure } from "./problems.js";
 
-export interface RequestQuarantineParts {
+export interface RequestQuarantineDependencies {
     readonly book: () => CrashBook;
-    /** Writes a command into the log; returns once it is applied here. */
+    /** Commits a command; resolves once it is applied in this process. */
     readonly propose: (command: QuarantineCommand) => Promise<QuarantineResult>;
     readonly log: EventLog;
     readonly metrics: Pick<Metrics, "count">;
 }
 
-/** A run of a job under which an upstream ended. */
-export interface LostRun {
-    /** Name of that end, as the agent beside the upstream tells it. */
+/** A run of a request during which the upstream crashed. */
+export interface CrashedRun {
+    /** Crash identifier reported by the agent. */
     readonly upstreamEnd: string;
-    /** Steady time. */
+    /** Monotonic time. */
     readonly sentAt: number;
 }
 
 export class RequestQuarantine {
-    private readonly watch: CrashWatch;
-    private readonly goodEnds = new GoodEnds();
+    private readonly crashMonitor: CrashWatch;
+    private readonly recentSuccesses = new GoodEnds();
 
-    public constructor(private readonly parts: RequestQuarantineParts) {
-        // The agent has made sure of the end.
-        this.watch = new CrashWatch({ ...parts, presence: () => "replaced" });
+    public constructor(private readonly dependencies: RequestQuarantineDependencies) {
+        // The agent has already confirmed the crash.
+        this.crashMonitor = new CrashWatch({ ...dependencies, presence: () => "replaced" });
     }
 
-    /** Writes what ended until the signal is aborted. */
+    /** Writes observed crashes to the log until the signal is aborted. */
     public run(signal: AbortSignal): Promise<void> {
-        return this.watch.run(signal);
+        return this.crashMonitor.run(signal);
     }
 
-    /** Why a job goes to no upstream any more; undefined where it may. */
-    public refusal(job: Job, mayHaveRun: boolean): RequestFailure | undefined {
-        const listed = this.listed(job);
+    /** Returns the failure for a quarantined request, or undefined if it may run. */
+    public rejectionFor(job: Job, mayHaveRun: boolean): RequestFailure | undefined {
+        const listed = this.findListed(job);
         if (listed?.standing !== "barred") {
             return undefined;
         }
-        const detail = `${listed.occasions} upstreams ended when they ran this request (${listed.fingerprint})`;
+        const detail = `${listed.occasions} upstreams crashed while running this request (${listed.fingerprint})`;
         return new RequestFailure(ProblemCode.endsUpstreams, mayHaveRun ? "ran" : "not-run", detail);
     }
 
-    /** Whether a job whose run was lost goes to no further upstream by itself. */
+    /** Whether the request is suspected of crashing upstreams and must not be retried automatically. */
     public isSuspected(job: Job): boolean {
-        return this.listed(job) !== undefined;
+        return this.findListed(job) !== undefined;
     }
 
-    public lost(job: Job, { upstreamEnd, sentAt }: LostRun): void {
+    public recordCrash(job: Job, { upstreamEnd, sentAt }: CrashedRun): void {
         const fingerprint = this.fingerprint(job);
-        if (fingerprint === undefined || this.goodEnds.has(fingerprint)) {
+        if (fingerprint === undefined || this.recentSuccesses.has(fingerprint)) {
             return;
         }
         const suspect = { fingerprint, size: bodyOf(job).length, sentAgoMs: steadyNow() - sentAt };
-        this.watch.take("", [{ upstream: upstreamEnd, refused: true, agoMs: 0, suspects: [suspect] }], []);
+        this.crashMonitor.take("", [{ upstream: upstreamEnd, refused: true, agoMs: 0, suspects: [suspect] }], []);
     }
 
-    public succeeded(job: Job): void {
+    public recordSuccess(job: Job): void {
         const fingerprint = this.fingerprint(job);
         if (fingerprint === undefined) {
             return;
         }
-        this.goodEnds.note(fingerprint);
-        if (this.parts.book().standingOf(fingerprint) !== undefined) {
-            this.watch.take("", [], [fingerprint]);
+        this.recentSuccesses.note(fingerprint);
+        if (this.dependencies.book().standingOf(fingerprint) !== undefined) {
+            this.crashMonitor.take("", [], [fingerprint]);
         }
     }
 
-    private listed(job: Job) {
-        const fingerprint = this.parts.book().isEmpty ? undefined : this.fingerprint(job);
-        return fingerprint === undefined ? undefined : this.parts.book().standingOf(fingerprint);
+    private findListed(job: Job) {
+        const fingerprint = this.dependencies.book().isEmpty ? undefined : this.fingerprint(job);
+        return fingerprint === undefined ? undefined : this.dependencies.book().standingOf(fingerprint);
     }
 
     private fingerprint(job: Job): string | undefined {
-        const { key } = this.parts.book();
+        const { key } = this.dependencies.book();
         const { method, resource, path, caller } = job;
         return key === undefined
             ? undefined
@@ -90,7 +90,7 @@
     }
 }
 
-/** The body as it is for no replica in particular. */
+/** The body without a replica-specific model name. */
 function bodyOf(job: Job): Uint8Array {
     return job.bodyFor("");
 }
--- a/packages/requests/src/queues.ts
+++ b/packages/requests/src/queues.ts
@@ -1,211 +1,221 @@
-/** Requests that wait for a replica: bounded, by priority, fair between callers, never past their time. */
+/** Bounded queues of requests that wait for a replica, ordered by priority and fair between clients. */
 import { Deferred, steadyNow } from "@winchpath/core";
-import { type Route, type RoutedReplica, type Router, type Tried } from "@winchpath/routing";
+import { type AttemptedReplicas, type Route, type RoutedReplica, type Router } from "@winchpath/routing";
 import { type Job } from "./jobs.js";
 import { ProblemCode, RequestFailure } from "./problems.js";
 
-/** Others' requests end without this entry being told. */
-const lookAgainMs = 25;
-/** When to come back to a model without a ready replica. */
+/** Polls, because this entry is not notified when requests of other entries end. */
+const pollIntervalMs = 25;
+/** Retry-After for a model without a ready replica. */
 const noReplicaRetryMs = 3000;
-/** When to come back to a model that fits nowhere: operators have to act first. */
+/** Retry-After for a model that cannot be placed: an operator has to act first. */
 const unplaceableRetryMs = 60_000;
-/** Callers that are sent away until the end of a rest come back over this share of its time more, drawn for each. */
-const restSpread = 0.25;
-/** Weight of the newest service time in the average. */
+/** Random share added to Retry-After, so that clients do not all retry when a backoff ends. */
+const retryJitter = 0.25;
+/** Smoothing factor of the average service time. */
 const serviceWeight = 0.1;
 
-interface Ticket {
+interface QueuedRequest {
     readonly job: Job;
-    readonly tried: Tried;
+    readonly attemptedReplicas: AttemptedReplicas;
     readonly admitted: Deferred<RoutedReplica>;
     readonly number: number;
 }
 
-/** The queue of one target. */
+/** Queue of one model, adapter or service. */
 export class TargetQueue {
-    private tickets: Ticket[] = [];
+    private queued: QueuedRequest[] = [];
     private timer: NodeJS.Timeout | undefined;
-    private issued = 0;
+    private nextNumber = 0;
     private meanServiceMs = 0;
-    /** Requests of each caller that were let through lately; halved as they add up. */
-    private readonly served = new Map<string, number>();
+    /** Recently dispatched requests by client; halved when they exceed a limit. */
+    private readonly servedCounts = new Map<string, number>();
 
     public constructor(private readonly router: Router, private readonly limit: number) {}
 
     public get waiting(): number {
-        return this.tickets.length;
+        return this.queued.length;
     }
 
-    /** A replica for the job; waits for one within the job's time, and fails with `not-run` as soon as that can't be. */
-    public async admit(job: Job, tried: Tried): Promise<RoutedReplica> {
-        const route = this.router.route(job.replicas(), tried, job);
-        if (this.tickets.length === 0 && route.tag === "replica") {
+    /** Waits for a replica; rejects with `not-run` as soon as none can be available in time. */
+    public async admit(job: Job, attemptedReplicas: AttemptedReplicas): Promise<RoutedReplica> {
+        const route = this.router.route(job.replicas(), attemptedReplicas, job);
+        if (this.queued.length === 0 && route.tag === "replica") {
             this.countServed(job.caller);
             return route.replica;
         }
-        refuseIfResting(job, route);
-        this.refuseEarly(job);
-        const ticket = { job, tried, admitted: new Deferred<RoutedReplica>(), number: this.issued++ };
-        this.tickets.push(ticket);
-        const leave = () =>
-            this.fail(ticket, new RequestFailure(ProblemCode.callerLeft, "not-run", "the caller left the queue"));
-        job.signal.addEventListener("abort", leave, { once: true });
-        this.lookAgainLater();
+        rejectIfBackingOff(job, route);
+        this.rejectIfUnservable(job);
+        const entry = {
+            job,
+            attemptedReplicas,
+            admitted: new Deferred<RoutedReplica>(),
+            number: this.nextNumber++,
+        };
+        this.queued.push(entry);
+        const removeOnAbort = () =>
+            this.fail(
+                entry,
+                new RequestFailure(ProblemCode.callerLeft, "not-run", "the caller left the queue"),
+            );
+        job.signal.addEventListener("abort", removeOnAbort, { once: true });
+        this.schedulePoll();
         try {
-            return await ticket.admitted.promise;
+            return await entry.admitted.promise;
         }
         finally {
-            job.signal.removeEventListener("abort", leave);
+            job.signal.removeEventListener("abort", removeOnAbort);
         }
     }
 
-    /** Takes in how long a request took. */
-    public noteService(ms: number): void {
+    /** Updates the average service time. */
+    public recordServiceTime(ms: number): void {
         this.meanServiceMs += (ms - this.meanServiceMs) * (this.meanServiceMs === 0 ? 1 : serviceWeight);
     }
 
-    /** Something has changed: lets through whom it can, and gives up those whose time is over. */
-    public pump(): void {
-        for (const ticket of this.inOrder()) {
-            const { job, tried, admitted } = ticket;
-            const route = this.router.route(job.replicas(), tried, job);
+    /** Dispatches requests that can start, and rejects those whose time is up. */
+    public dispatch(): void {
+        for (const entry of this.inDispatchOrder()) {
+            const { job, attemptedReplicas, admitted } = entry;
+            const route = this.router.route(job.replicas(), attemptedReplicas, job);
             if (route.tag === "replica") {
                 this.countServed(job.caller);
-                this.remove(ticket);
+                this.remove(entry);
                 admitted.resolve(route.replica);
             }
             else if (Date.now() >= job.deadline) {
                 this.fail(
-                    ticket,
+                    entry,
                     new RequestFailure(
                         ProblemCode.noReplica,
                         "not-run",
-                        "no replica was ready in time",
+                        "no replica became ready in time",
                         noReplicaRetryMs,
                     ),
                 );
             }
-            else if (route.tag === "resting" && restsTooLong(job, route.until)) {
-                this.fail(ticket, resting(route.until));
+            else if (route.tag === "resting" && backoffEndsTooLate(job, route.until)) {
+                this.fail(entry, backoffFailure(route.until));
             }
             else if (route.tag === "full" && Date.now() >= job.startBy) {
                 this.fail(
-                    ticket,
-                    overloaded("no replica had room in time", this.expectedWaitMs(job) + this.meanServiceMs),
+                    entry,
+                    overloadFailure(
+                        "no replica had free capacity in time",
+                        this.expectedWaitMs(job) + this.meanServiceMs,
+                    ),
                 );
             }
         }
     }
 
-    /** Fails all that wait, as the entry stops. */
+    /** Rejects all queued requests at shutdown. */
     public close(): void {
-        for (const ticket of [...this.tickets]) {
-            this.fail(ticket, new RequestFailure(ProblemCode.stopping, "not-run", "the entry is stopping", 1000));
+        for (const entry of [...this.queued]) {
+            this.fail(entry, new RequestFailure(ProblemCode.stopping, "not-run", "entry is shutting down", 1000));
         }
     }
 
-    /** Gives the final answer at once where waiting would be in vain. */
-    private refuseEarly(job: Job): void {
+    /** Rejects a request at once if it cannot start in time. */
+    private rejectIfUnservable(job: Job): void {
         const reason = job.unplaceable();
         if (reason !== undefined) {
             throw new RequestFailure(ProblemCode.noReplica, "not-run", reason, unplaceableRetryMs);
         }
-        if (this.tickets.length >= this.limit) {
-            throw overloaded(`${this.limit} requests wait already`, this.expectedWaitMs(job));
+        if (this.queued.length >= this.limit) {
+            throw overloadFailure(`queue is full: ${this.limit} requests wait already`, this.expectedWaitMs(job));
         }
-        const expected = this.expectedWaitMs(job);
-        const left = job.startBy - Date.now();
-        if (expected > left) {
-            throw overloaded(
-                `the wait of about ${Math.round(expected)} ms is over the ${Math.round(left)} ms there are`,
-                expected,
+        const expectedMs = this.expectedWaitMs(job);
+        const remaining = job.startBy - Date.now();
+        if (expectedMs > remaining) {
+            throw overloadFailure(
+                `expected wait of ${Math.round(expectedMs)} ms is over the ${Math.round(remaining)} ms left`,
+                expectedMs,
             );
         }
     }
 
-    /** How long those ahead will take; 0 while no replica is ready, since that can't be told from them. */
+    /** Estimated wait behind queued requests of equal or higher priority; 0 while no replica is ready. */
     private expectedWaitMs(job: Job): number {
         const capacity = job.replicas().reduce((sum, replica) => sum + replica.capacity, 0);
-        const ahead = this.tickets.filter(ticket => ticket.job.priority >= job.priority).length;
+        const ahead = this.queued.filter(entry => entry.job.priority >= job.priority).length;
         return capacity === 0 ? 0 : ahead * this.meanServiceMs / capacity;
     }
 
-    /** By priority, then the caller that was served least, then age. */
-    private inOrder(): Ticket[] {
-        const servedOf = (ticket: Ticket) => this.served.get(ticket.job.caller) ?? 0;
-        return [...this.tickets].sort((a, b) =>
+    /** By priority, then by the client with the fewest dispatched requests, then by age. */
+    private inDispatchOrder(): QueuedRequest[] {
+        const servedOf = (entry: QueuedRequest) => this.servedCounts.get(entry.job.caller) ?? 0;
+        return [...this.queued].sort((a, b) =>
             b.job.priority - a.job.priority || servedOf(a) - servedOf(b) || a.number - b.number
         );
     }
 
     private countServed(caller: string): void {
-        const most = 1000;
-        const count = (this.served.get(caller) ?? 0) + 1;
-        this.served.set(caller, count);
-        if (count > most || this.served.size > most) {
-            this.halveServed();
+        const maxCount = 1000;
+        const count = (this.servedCounts.get(caller) ?? 0) + 1;
+        this.servedCounts.set(caller, count);
+        if (count > maxCount || this.servedCounts.size > maxCount) {
+            this.halveServedCounts();
         }
     }
 
-    private halveServed(): void {
-        for (const [name, value] of this.served) {
+    private halveServedCounts(): void {
+        for (const [name, value] of this.servedCounts) {
             if (value < 2) {
-                this.served.delete(name);
+                this.servedCounts.delete(name);
             }
             else {
-                this.served.set(name, value / 2);
+                this.servedCounts.set(name, value / 2);
             }
         }
     }
 
-    private fail(ticket: Ticket, failure: RequestFailure): void {
-        this.remove(ticket);
-        ticket.admitted.reject(failure);
+    private fail(entry: QueuedRequest, failure: RequestFailure): void {
+        this.remove(entry);
+        entry.admitted.reject(failure);
     }
 
-    private remove(ticket: Ticket): void {
-        this.tickets = this.tickets.filter(other => other !== ticket);
+    private remove(entry: QueuedRequest): void {
+        this.queued = this.queued.filter(other => other !== entry);
     }
 
-    private lookAgainLater(): void {
+    private schedulePoll(): void {
         this.timer ??= setTimeout(() => {
             this.timer = undefined;
-            this.pump();
-            if (this.tickets.length > 0) {
-                this.lookAgainLater();
+            this.dispatch();
+            if (this.queued.length > 0) {
+                this.schedulePoll();
             }
-        }, lookAgainMs);
+        }, pollIntervalMs);
     }
 }
 
-/** Gives the final answer at once where all replicas rest until it is too late for the request. */
-function refuseIfResting(job: Job, route: Route): void {
-    if (route.tag === "resting" && restsTooLong(job, route.until)) {
-        throw resting(route.until);
+/** Rejects a request at once if all replicas back off until after its start time. */
+function rejectIfBackingOff(job: Job, route: Route): void {
+    if (route.tag === "resting" && backoffEndsTooLate(job, route.until)) {
+        throw backoffFailure(route.until);
     }
 }
 
-function restsTooLong(job: Job, until: number): boolean {
+function backoffEndsTooLate(job: Job, until: number): boolean {
     return until - steadyNow() > job.startBy - Date.now();
 }
 
-function resting(until: number): RequestFailure {
-    const restMs = Math.max(0, until - steadyNow()) * (1 + restSpread * Math.random());
-    return overloaded("all replicas have asked for rest", restMs);
+function backoffFailure(until: number): RequestFailure {
+    const retryAfterMs = Math.max(0, until - steadyNow()) * (1 + retryJitter * Math.random());
+    return overloadFailure("all replicas have asked clients to back off", retryAfterMs);
 }
 
-function overloaded(detail: string, retryAfterMs: number): RequestFailure {
+function overloadFailure(detail: string, retryAfterMs: number): RequestFailure {
     return new RequestFailure(ProblemCode.overloaded, "not-run", detail, retryAfterMs);
 }
 
-/** The queues of all targets. */
-export class Queues {
+export class TargetQueues {
     private readonly queues = new Map<string, TargetQueue>();
 
     public constructor(private readonly router: Router, private readonly limit: number) {}
 
-    public of(resource: string): TargetQueue {
+    public forTarget(resource: string): TargetQueue {
         let queue = this.queues.get(resource);
         if (queue === undefined) {
             queue = new TargetQueue(this.router, this.limit);
@@ -218,9 +228,9 @@
         return this.queues.get(resource)?.waiting ?? 0;
     }
 
-    /** Lets through whom it can, after something has changed. */
-    public pump(): void {
-        this.queues.forEach(queue => queue.waiting > 0 && queue.pump());
+    /** Dispatches queued requests of all targets. */
+    public dispatch(): void {
+        this.queues.forEach(queue => queue.waiting > 0 && queue.dispatch());
     }
 
     public close(): void {
--- a/packages/requests/src/readers.ts
+++ b/packages/requests/src/readers.ts
@@ -1,81 +1,80 @@
-/** Reads an attempt's answer, and tells whether it is whole. */
+/** Reads the response of an attempt and checks that it is complete. */
 import { type Header, type Refusal, type RunChunk } from "@winchpath/upstream";
-import { type AnswerEvent, type Job } from "./jobs.js";
-import { type Progress, type Replay } from "./progress.js";
+import { type Job, type ResponseEvent } from "./jobs.js";
+import { type ReplayFilter, type ResponseProgress } from "./progress.js";
 
-const endMark = Buffer.from("data: [DONE]");
+const endMarker = Buffer.from("data: [DONE]");
 
-/** How an attempt ended. */
-export type AttemptEnd =
-    /** The caller has the whole answer. */
+export type AttemptResult =
+    /** The client has the complete response. */
     | { readonly tag: "whole"; }
-    /** Not started, and never will be. */
+    /** The attempt was not started and never will be. */
     | {
         readonly tag: "refused";
         readonly refusal: Refusal;
         readonly revision: number;
         readonly message: string;
-        /** For how long the upstream wants nothing, in milliseconds; 0 where it asks for no rest. */
+        /** Requested backoff in milliseconds; 0 if none. */
         readonly restMs: number;
     }
-    /** The agent has, or had, the request, and this entry lost the way to the answer. */
+    /** The connection was lost; the agent may have the request and its response. */
     | { readonly tag: "lost"; readonly message: string; }
-    /** The upstream's answer broke off. */
+    /** The upstream's response was incomplete. */
     | {
         readonly tag: "broken";
         readonly message: string;
         readonly timedOut: boolean;
-        /** Name of the end of the upstream's process under it; empty where that lives. */
+        /** Crash identifier of the upstream's process; empty if it is alive. */
         readonly upstreamEnd: string;
     }
-    /** The answer began otherwise than what the caller has already. */
+    /** The response differs from what the client has already received. */
     | { readonly tag: "different"; };
 
 /**
- * Reads the chunks of one attempt, over all connections that it takes. What the
- * caller has from an earlier attempt is compared, and left out.
+ * Reads the chunks of one attempt across reconnections. Bytes that the client has
+ * received from an earlier attempt are verified and skipped.
  */
-export class AnswerReader {
-    /** Set by the last chunk. */
-    public end: AttemptEnd | undefined;
-    private readonly replay: Replay;
-    private needsMark = false;
+export class ResponseReader {
+    /** Set once the attempt has ended. */
+    public result: AttemptResult | undefined;
+    private readonly replay: ReplayFilter;
+    private needsEndMarker = false;
     private receivedBytes = 0;
 
-    public constructor(private readonly job: Job, private readonly progress: Progress) {
-        this.replay = progress.replay();
+    public constructor(private readonly job: Job, private readonly progress: ResponseProgress) {
+        this.replay = progress.createReplayFilter();
     }
 
-    /** Bytes of this attempt's answer that have come, whether the caller had them before or not. */
+    /** Body bytes received in this attempt, including those that the client already had. */
     public get received(): number {
         return this.receivedBytes;
     }
 
-    /** What is to be handed to the caller. */
-    public take({ head, body, end, refused, broken }: RunChunk): AnswerEvent[] {
-        const events: (AnswerEvent | undefined)[] = [];
+    /** Returns the events to send to the client. */
+    public read({ head, body, end, refused, broken }: RunChunk): ResponseEvent[] {
+        const events: (ResponseEvent | undefined)[] = [];
         if (head !== undefined) {
-            events.push(this.takeHead(head.status, head.headers));
+            events.push(this.readHead(head.status, head.headers));
         }
         if (body.length > 0) {
-            events.push(this.takeBody(body));
+            events.push(this.readBody(body));
         }
         if (refused !== undefined) {
             const { refusal, revision, message, restMs } = refused;
-            this.end = { tag: "refused", refusal, revision: Number(revision), message, restMs };
+            this.result = { tag: "refused", refusal, revision: Number(revision), message, restMs };
         }
         else if (broken !== undefined) {
             const { message, timedOut, upstreamEnd } = broken;
-            this.end = { tag: "broken", message, timedOut, upstreamEnd };
+            this.result = { tag: "broken", message, timedOut, upstreamEnd };
         }
         else if (end !== undefined) {
-            this.end ??= this.endOf(Number(end.bodyBytes));
+            this.result ??= this.finalResult(Number(end.bodyBytes));
         }
         return events.filter(event => event !== undefined);
     }
 
-    private takeHead(status: number, headers: readonly Header[]): AnswerEvent | undefined {
-        this.needsMark = this.job.endsWithMark(status, headers);
+    private readHead(status: number, headers: readonly Header[]): ResponseEvent | undefined {
+        this.needsEndMarker = this.job.endsWithMark(status, headers);
         if (this.progress.headSent) {
             return undefined;
         }
@@ -83,29 +82,29 @@
         return { tag: "head", status, headers };
     }
 
-    private takeBody(bytes: Uint8Array): AnswerEvent | undefined {
+    private readBody(bytes: Uint8Array): ResponseEvent | undefined {
         this.receivedBytes += bytes.length;
-        const fresh = this.replay.pass(bytes);
+        const fresh = this.replay.filter(bytes);
         if (fresh === undefined) {
-            this.end = { tag: "different" };
+            this.result = { tag: "different" };
             return undefined;
         }
         this.progress.add(fresh);
         return fresh.length === 0 ? undefined : { tag: "body", bytes: fresh };
     }
 
-    private endOf(bodyBytes: number): AttemptEnd {
+    private finalResult(bodyBytes: number): AttemptResult {
         if (bodyBytes !== this.receivedBytes || !this.replay.done) {
-            return brokenBy(`${this.receivedBytes} of ${bodyBytes} bytes came`);
+            return brokenResult(`received ${this.receivedBytes} of ${bodyBytes} bytes`);
         }
-        if (this.needsMark && !this.progress.endsWith(endMark)) {
-            return brokenBy("the stream ended without its end mark");
+        if (this.needsEndMarker && !this.progress.endsWith(endMarker)) {
+            return brokenResult("stream ended without its end marker");
         }
         return { tag: "whole" };
     }
 }
 
-/** An answer that is not whole, of an upstream that lives. */
-function brokenBy(message: string): AttemptEnd {
+/** An incomplete response from an upstream that is still alive. */
+function brokenResult(message: string): AttemptResult {
     return { tag: "broken", message, timedOut: false, upstreamEnd: "" };
 }
--- a/packages/requests/src/schemas.ts
+++ b/packages/requests/src/schemas.ts
@@ -1,39 +1,44 @@
-/** The claims' commands and state. */
+/** Schemas of the claim commands and their replicated state. */
 import Type, { type Static } from "typebox";
 
-/** An answer that is kept with its claim. */
-export const KeptAnswer = Type.Object({
+/** A response stored with its claim. */
+export const StoredResponse = Type.Object({
     status: Type.Integer(),
     headers: Type.Array(Type.Tuple([Type.String(), Type.String()])),
     /** The body in base64. */
     body: Type.String(),
 });
-export type KeptAnswer = Static<typeof KeptAnswer>;
+export type StoredResponse = Static<typeof StoredResponse>;
 
-/** Who may run a request that carries an idempotency key. */
+/** Assigns a request with an idempotency key to the process that may run it. */
 export const Claim = Type.Object({
     key: Type.String(),
     requestId: Type.String(),
-    /** Digest of the request; the same key with another request is refused. */
+    /** Digest of the request; reuse of the key for a different request is rejected. */
     fingerprint: Type.String(),
     attempt: Type.Integer(),
-    /** Made by the process that was given this attempt. */
+    /** Unique ID created by the process to which this attempt is assigned. */
     holder: Type.String(),
     upstream: Type.String(),
     url: Type.String(),
     incarnation: Type.String(),
-    /** The report that the attempt's upstream was chosen by. */
+    /** Sequence number of the report on which the upstream was selected. */
     seenReport: Type.Integer(),
-    /** Leader's clock in milliseconds since the epoch. */
+    /** The leader's clock, in milliseconds since the epoch. */
     expiresAt: Type.Integer(),
-    /** It is known to have run to its end. */
+    /** Set once the request is known to have completed. */
     ran: Type.Optional(Type.Boolean()),
-    /** Small answers, as long as there is room for them. */
-    answer: Type.Optional(KeptAnswer),
+    /** Stored for small responses, within the total size limit. */
+    answer: Type.Optional(StoredResponse),
 });
 export type Claim = Static<typeof Claim>;
 
-const Place = { upstream: Type.String(), url: Type.String(), incarnation: Type.String(), seenReport: Type.Integer() };
+const attemptLocation = {
+    upstream: Type.String(),
+    url: Type.String(),
+    incarnation: Type.String(),
+    seenReport: Type.Integer(),
+};
 
 export const ClaimCommand = Type.Union([
     Type.Object({
@@ -43,35 +48,35 @@
         fingerprint: Type.String(),
         holder: Type.String(),
         windowMs: Type.Integer(),
-        ...Place,
+        ...attemptLocation,
     }),
-    /** Gives the next attempt to `holder`, where `fromAttempt` is still the newest one. */
+    /** Assigns the next attempt to `holder` if `fromAttempt` is still the latest. */
     Type.Object({
         op: Type.Literal("reassign"),
         key: Type.String(),
         fromAttempt: Type.Integer(),
         holder: Type.String(),
-        ...Place,
+        ...attemptLocation,
     }),
-    /** The attempt was not run, and there will be no other. */
+    /** Removes the claim: the attempt did not run and there will be no other. */
     Type.Object({ op: Type.Literal("release"), key: Type.String(), attempt: Type.Integer() }),
-    /** The attempt has run to its end; its answer is kept where it is small. */
+    /** Records that the attempt has completed, with its response if small enough. */
     Type.Object({
         op: Type.Literal("answer"),
         key: Type.String(),
         attempt: Type.Integer(),
-        answer: Type.Optional(KeptAnswer),
+        answer: Type.Optional(StoredResponse),
     }),
 ]);
 export type ClaimCommand = Static<typeof ClaimCommand>;
 
-/** What a claims command gave. */
+/** Result of a claim command. */
 export type ClaimResult =
-    /** The attempt is the proposer's. */
+    /** The attempt is assigned to the proposer. */
     | { readonly tag: "mine"; readonly claim: Claim; }
-    /** Another process has it, or had it. */
+    /** The attempt is or was assigned to another process. */
     | { readonly tag: "held"; readonly claim: Claim; }
-    /** The key belongs to a different request. */
+    /** The key was used for a different request. */
     | { readonly tag: "mismatch"; }
-    /** There is no claim on the key. */
+    /** The key is not claimed. */
     | { readonly tag: "free"; };
--- a/packages/requests/src/tests/claims.test.ts
+++ b/packages/requests/src/tests/claims.test.ts
@@ -12,14 +12,14 @@
 }
 
 describe("Claims", () => {
-    it("give the key to the first, and its claim to the others", () => {
+    it("assign a key to the first request and return that claim to duplicates", () => {
         const claims = new Claims();
         expect(claims.apply(claim("k", "a"), { time: 1 }).tag).toEqual("mine");
         const second = claims.apply(claim("k", "b"), { time: 2 });
         expect(second.tag === "held" && second.claim.requestId).toEqual("r-a");
     });
 
-    it("answer a command that comes twice as the first time", () => {
+    it("return the same result when a command is applied twice", () => {
         const claims = new Claims();
         const first = claims.apply(claim("k", "a"), { time: 1 });
         expect(claims.apply(claim("k", "a"), { time: 2 })).toEqual(first);
@@ -29,7 +29,7 @@
         expect(claims.apply(reassign, { time: 4 })).toEqual(passed);
     });
 
-    it("give the next attempt to one only", () => {
+    it("assign the next attempt to only one process", () => {
         const claims = new Claims();
         claims.apply(claim("k", "a"), { time: 1 });
         const tags = ["b.2", "c.2"].map(holder =>
@@ -38,14 +38,14 @@
         expect(tags).toEqual(["mine", "held"]);
     });
 
-    it("refuse the key for another request, until the window has ended", () => {
+    it("reject a key for a different request until the claim expires", () => {
         const claims = new Claims();
         claims.apply(claim("k", "a"), { time: 1 });
         expect(claims.apply(claim("k", "b", "other"), { time: windowMs }).tag).toEqual("mismatch");
         expect(claims.apply(claim("k", "b", "other"), { time: windowMs + 1 }).tag).toEqual("mine");
     });
 
-    it("drop the oldest answers where there are too many bytes of them, and never that they ran", () => {
+    it("drop the oldest responses above the size limit, but not the record that they ran", () => {
         const claims = new Claims();
         const body = "x".repeat(10 * 1024 * 1024);
         for (const key of ["a", "b", "c", "d"]) {
@@ -63,7 +63,7 @@
         expect(claims.apply(late, { time: 4 }).tag).toEqual("held");
     });
 
-    it(`agree with a naive version under random commands (seed ${seed})`, () => {
+    it(`match a reference model under random commands (seed ${seed})`, () => {
         const command = fc.record({
             op: fc.constantFrom("claim" as const, "reassign" as const, "release" as const),
             key: fc.constantFrom("k", "l"),
@@ -74,23 +74,25 @@
         fc.assert(
             fc.property(fc.array(command, { maxLength: 40 }), commands => {
                 const claims = new Claims();
-                const naive = new Map<string, { holder: string; attempt: number; until: number; }>();
+                const reference = new Map<string, { holder: string; attempt: number; until: number; }>();
                 let time = 0;
                 for (const { op, key, holder, attempt, wait } of commands) {
                     time += wait;
-                    [...naive].filter(([, held]) => held.until <= time).forEach(([expired]) => naive.delete(expired));
-                    const held = naive.get(key);
+                    [...reference].filter(([, held]) => held.until <= time).forEach(([expired]) =>
+                        reference.delete(expired)
+                    );
+                    const held = reference.get(key);
                     let expected: ClaimResult["tag"] = "free";
                     if (op === "claim") {
                         expected = held === undefined || held.holder === holder ? "mine" : "held";
-                        naive.set(key, held ?? { holder, attempt: 1, until: time + windowMs });
+                        reference.set(key, held ?? { holder, attempt: 1, until: time + windowMs });
                         expect(claims.apply(claim(key, holder), { time }).tag).toEqual(expected);
                     }
                     else if (op === "reassign") {
                         if (held !== undefined) {
                             const turn = held.attempt === attempt;
                             expected = turn || held.holder === holder ? "mine" : "held";
-                            naive.set(key, turn ? { ...held, holder, attempt: attempt + 1 } : held);
+                            reference.set(key, turn ? { ...held, holder, attempt: attempt + 1 } : held);
                         }
                         const result = claims.apply({ op, key, fromAttempt: attempt, holder, ...place }, { time });
                         expect(result.tag).toEqual(expected);
@@ -99,7 +101,7 @@
                         const released = held?.attempt === attempt;
                         expected = held === undefined || released ? "free" : "held";
                         if (released) {
-                            naive.delete(key);
+                            reference.delete(key);
                         }
                         expect(claims.apply({ op, key, attempt }, { time }).tag).toEqual(expected);
                     }
--- a/packages/requests/src/tests/fakes.ts
+++ b/packages/requests/src/tests/fakes.ts
@@ -1,4 +1,4 @@
-/** Agents and upstreams in memory, with connections that tests cut. */
+/** In-memory agents and upstreams with fault injection. */
 import { create } from "@bufbuild/protobuf";
 import { Metrics, silentLog } from "@winchpath/core";
 import { CrashBook } from "@winchpath/quarantine";
@@ -26,28 +26,28 @@
     RequestQuarantine,
 } from "../index.js";
 
-/** What goes wrong, in the order of the runs; nothing more where a list has ended. */
+/** Faults to inject, one per run; no further faults once a list is exhausted. */
 export interface Faults {
-    /** Connections are cut after so many chunks; -1 before the request is sent. */
-    readonly cuts: number[];
-    /** Upstream answers break off after so many pieces. */
-    readonly breaks: number[];
-    /** The agent restarts at the next fence, and has forgotten everything. */
+    /** Number of chunks after which the connection is lost; -1 for before the request is sent. */
+    readonly disconnects: number[];
+    /** Number of pieces after which the upstream's response ends early. */
+    readonly truncations: number[];
+    /** Whether the agent restarts without its state at the next fence call. */
     readonly restarts: boolean[];
-    /** Each run gives another answer. */
+    /** Every run returns a different response. */
     readonly varied?: boolean;
 }
 
-export const whole = Array.from({ length: 12 }, (_, index) => `data: piece ${index} of the answer\n\n`);
-export const wholeText = `${whole.join("")}data: [DONE]\n\n`;
+export const responsePieces = Array.from({ length: 12 }, (_, index) => `data: piece ${index} of the answer\n\n`);
+export const responseText = `${responsePieces.join("")}data: [DONE]\n\n`;
 
-/** Body of a request that ends each upstream that runs it, after a piece of its answer. */
-export const deadly = "deadly";
+/** Body of a request that crashes every upstream that runs it, after one piece of the response. */
+export const crashingBody = "deadly";
 
 class FakeUpstream implements Upstream {
     public readonly runs = new Map<string, number>();
-    /** Whether its process has ended; it is back before the next run. */
-    private ended = false;
+    /** Whether its process has crashed; it is restarted before the next run. */
+    private crashed = false;
 
     public constructor(private readonly faults: Faults) {}
 
@@ -62,34 +62,34 @@
     public async send(req: UpstreamRequest): Promise<UpstreamAnswer> {
         const id = String(Buffer.from(req.body));
         this.runs.set(id, (this.runs.get(id) ?? 0) + 1);
-        this.ended = id === deadly;
-        const pieces = this.faults.breaks.shift() ?? Number.POSITIVE_INFINITY;
+        this.crashed = id === crashingBody;
+        const pieces = this.faults.truncations.shift() ?? Number.POSITIVE_INFINITY;
         const headers = { "content-type": "text/event-stream" };
-        if (this.ended) {
+        if (this.crashed) {
             return { status: 200, headers, body: bodyOf(1, ""), discard: async () => undefined };
         }
-        const mark = this.faults.varied ? `run ${this.runs.get(id)}: ` : "";
-        return { status: 200, headers, body: bodyOf(pieces, mark), discard: async () => undefined };
+        const prefix = this.faults.varied ? `run ${this.runs.get(id)}: ` : "";
+        return { status: 200, headers, body: bodyOf(pieces, prefix), discard: async () => undefined };
     }
 
     public async hasEnded() {
-        return this.ended;
+        return this.crashed;
     }
 
     public async close() {}
 }
 
-async function* bodyOf(pieces: number, mark: string): AsyncGenerator<Uint8Array> {
-    for (const [index, piece] of [...whole, "data: [DONE]\n\n"].entries()) {
+async function* bodyOf(pieces: number, prefix: string): AsyncGenerator<Uint8Array> {
+    for (const [index, piece] of [...responsePieces, "data: [DONE]\n\n"].entries()) {
         await new Promise(resolve => setImmediate(resolve));
         if (index >= pieces) {
-            // Every second break looks like an end.
+            // Even counts end the stream normally, odd ones with an error.
             if (pieces % 2 === 0) {
                 return;
             }
-            throw new Error("the upstream broke off");
+            throw new Error("upstream closed the connection");
         }
-        yield Buffer.from(mark + piece);
+        yield Buffer.from(prefix + piece);
     }
 }
 
@@ -99,7 +99,7 @@
     public readonly upstream: FakeUpstream;
     private readonly runners = new Map<string, { incarnation: number; runner: Runner; }>();
     private sequence = 0n;
-    /** Date.now() of each report that entries have seen. */
+    /** Date.now() of each report, by sequence number. */
     private readonly reportedAt = new Map<bigint, number>();
 
     public constructor(private readonly faults: Faults, private readonly names: readonly string[]) {
@@ -132,14 +132,14 @@
     }
 
     private async *run(name: string, req: RunRequest, signal: AbortSignal): AsyncGenerator<RunChunk> {
-        let left = this.faults.cuts.shift() ?? Number.POSITIVE_INFINITY;
-        if (left < 0) {
+        let remaining = this.faults.disconnects.shift() ?? Number.POSITIVE_INFINITY;
+        if (remaining < 0) {
             throw new NotSentError("refused");
         }
         for await (const chunk of this.runners.get(name)!.runner.run(req)) {
-            left -= 1;
-            if (left < 0 || signal.aborted) {
-                throw new Error("the connection was cut");
+            remaining -= 1;
+            if (remaining < 0 || signal.aborted) {
+                throw new Error("connection lost");
             }
             yield chunk;
         }
@@ -170,8 +170,8 @@
     }
 }
 
-/** A quarantine of one process, whose log is its memory. */
-export function quarantineFor(book = new CrashBook()): RequestQuarantine {
+/** A quarantine whose commands are applied directly to `book`. */
+export function createQuarantine(book = new CrashBook()): RequestQuarantine {
     return new RequestQuarantine({
         book: () => book,
         propose: async command => book.apply(command, { time: Date.now() }),
@@ -180,8 +180,12 @@
     });
 }
 
-/** A handler before these agents; several of them share one log of claims, and one quarantine. */
-export function handlerFor(agents: FakeAgents, claims = new Claims(), quarantine = quarantineFor()): RequestHandler {
+/** A request handler for these agents; handlers may share claims and a quarantine. */
+export function createHandler(
+    agents: FakeAgents,
+    claims = new Claims(),
+    quarantine = createQuarantine(),
+): RequestHandler {
     return new RequestHandler({
         entry: "entry",
         quarantine,
@@ -194,11 +198,11 @@
         queueLimit: 10,
         retryShare: 1,
         claimWindowMs: 86_400_000,
-        joinPatienceMs: 5,
+        joinTimeoutMs: 5,
     });
 }
 
-export function jobFor(agents: FakeAgents, changes: Partial<Job>): Job {
+export function createJob(agents: FakeAgents, changes: Partial<Job>): Job {
     return {
         requestId: "r",
         resource: "m",
@@ -224,7 +228,7 @@
     };
 }
 
-/** What the caller has in the end: the text, and the failure where there was one. */
+/** Runs the job and returns the text that the client received, and the failure if any. */
 export async function ask(handler: RequestHandler, job: Job): Promise<{ text: string; failure: unknown; }> {
     let text = "";
     try {
--- a/packages/requests/src/tests/handlers.test.ts
+++ b/packages/requests/src/tests/handlers.test.ts
@@ -2,13 +2,13 @@
 import fc from "fast-check";
 import { describe, it } from "node:test";
 import { type ClaimCommand, Claims, RequestFailure } from "../index.js";
-import { ask, FakeAgents, type Faults, handlerFor, jobFor, wholeText } from "./fakes.js";
+import { ask, createHandler, createJob, FakeAgents, type Faults, responseText } from "./fakes.js";
 
 const seed = 20261202;
 
 const faultLists: fc.Arbitrary<Faults> = fc.record({
-    cuts: fc.array(fc.integer({ min: -1, max: 15 }), { maxLength: 6 }),
-    breaks: fc.array(fc.integer({ min: 0, max: 15 }), { maxLength: 3 }),
+    disconnects: fc.array(fc.integer({ min: -1, max: 15 }), { maxLength: 6 }),
+    truncations: fc.array(fc.integer({ min: 0, max: 15 }), { maxLength: 3 }),
     restarts: fc.array(fc.boolean(), { maxLength: 4 }),
 });
 
@@ -17,14 +17,14 @@
 }
 
 describe("RequestHandler", () => {
-    describe(`under random cuts, broken answers and restarts (seed ${seed})`, () => {
-        it("gives a repeatable request's whole answer or a failure, never a part or a mixture", async () => {
+    describe(`under random disconnects, truncated responses and restarts (seed ${seed})`, () => {
+        it("returns the complete response to a repeatable request or fails, without truncating or mixing responses", async () => {
             await fc.assert(
                 fc.asyncProperty(faultLists, async faults => {
                     const agents = new FakeAgents(structuredClone(faults), ["a", "b"]);
-                    const { text, failure } = await ask(handlerFor(agents), jobFor(agents, {}));
-                    expect(wholeText.startsWith(text)).toEqual(true);
-                    expect(failure === undefined && text !== wholeText).toEqual(false);
+                    const { text, failure } = await ask(createHandler(agents), createJob(agents, {}));
+                    expect(responseText.startsWith(text)).toEqual(true);
+                    expect(failure === undefined && text !== responseText).toEqual(false);
                     if (outcomeOf(failure) === "not-run") {
                         expect(agents.upstream.runs.size).toEqual(0);
                     }
@@ -33,11 +33,11 @@
             );
         });
 
-        it("never goes on with another run's text, where each run gives another answer", async () => {
+        it("never continues with another run's text when responses differ", async () => {
             await fc.assert(
                 fc.asyncProperty(faultLists, async faults => {
                     const agents = new FakeAgents({ ...structuredClone(faults), varied: true }, ["a", "b"]);
-                    const { text } = await ask(handlerFor(agents), jobFor(agents, {}));
+                    const { text } = await ask(createHandler(agents), createJob(agents, {}));
                     const runs = new Set(text.match(/run \d+/g) ?? []);
                     expect(runs.size <= 1).toEqual(true);
                 }),
@@ -45,31 +45,34 @@
             );
         });
 
-        it("runs a non-idempotent request at most once, and tells its outcome truly", async () => {
+        it("runs a non-idempotent request at most once and reports its outcome correctly", async () => {
             await fc.assert(
                 fc.asyncProperty(faultLists, async faults => {
                     const agents = new FakeAgents(structuredClone(faults), ["a", "b"]);
-                    const { text, failure } = await ask(handlerFor(agents), jobFor(agents, { repeatable: false }));
+                    const { text, failure } = await ask(
+                        createHandler(agents),
+                        createJob(agents, { repeatable: false }),
+                    );
                     const runs = agents.upstream.runs.get("r") ?? 0;
                     expect(runs <= 1).toEqual(true);
-                    expect(failure === undefined && text !== wholeText).toEqual(false);
+                    expect(failure === undefined && text !== responseText).toEqual(false);
                     expect(outcomeOf(failure) === "not-run" && runs > 0).toEqual(false);
                 }),
                 { seed, numRuns: 300 },
             );
         });
 
-        it("runs copies under one key at most once, through several entries at once", async () => {
+        it("runs concurrent duplicates with the same key at most once across entries", async () => {
             await fc.assert(
-                fc.asyncProperty(faultLists, fc.integer({ min: 2, max: 4 }), async (faults, copies) => {
+                fc.asyncProperty(faultLists, fc.integer({ min: 2, max: 4 }), async (faults, duplicates) => {
                     const agents = new FakeAgents(structuredClone(faults), ["a", "b"]);
                     const claims = new Claims();
                     const answers = await Promise.all(
-                        Array.from({ length: copies }, (_, copy) =>
+                        Array.from({ length: duplicates }, (_, duplicate) =>
                             ask(
-                                handlerFor(agents, claims),
-                                jobFor(agents, {
-                                    requestId: `r${copy}`,
+                                createHandler(agents, claims),
+                                createJob(agents, {
+                                    requestId: `r${duplicate}`,
                                     repeatable: false,
                                     idempotencyKey: "k",
                                 }),
@@ -78,10 +81,10 @@
                     const runs = agents.upstream.runs.get("r") ?? 0;
                     expect(runs <= 1).toEqual(true);
                     for (const { text, failure } of answers) {
-                        expect(failure === undefined && text !== wholeText).toEqual(false);
+                        expect(failure === undefined && text !== responseText).toEqual(false);
                         expect(outcomeOf(failure) === "ran" && runs === 0).toEqual(false);
                     }
-                    // A copy that was told not-run was another submission of it: it may have run for one that came later.
+                    // A duplicate that ended as not-run may still have been run for a later duplicate.
                     const allNotRun = answers.every(({ failure }) => outcomeOf(failure) === "not-run");
                     expect(allNotRun && runs > 0).toEqual(false);
                 }),
@@ -90,43 +93,52 @@
         });
     });
 
-    describe("a copy under a key, after the agent has forgotten the answer", () => {
-        /** A log that has lost the answer, as it does with one that is too large. */
+    describe("a duplicate request after the agent has dropped the response", () => {
+        /** Claims that store no responses, as for responses that are too large. */
         class AnswerlessClaims extends Claims {
             public override apply(command: ClaimCommand, context: { time: number; }) {
                 return super.apply(command.op === "answer" ? { ...command, answer: undefined } : command, context);
             }
         }
 
-        it("is told that it ran, and is not run again", async t => {
+        it("fails with the outcome ran and is not run again", async t => {
             t.mock.timers.enable({ apis: ["Date"], now: 1_000_000 });
-            const agents = new FakeAgents({ cuts: [], breaks: [], restarts: [] }, ["a"]);
+            const agents = new FakeAgents({ disconnects: [], truncations: [], restarts: [] }, ["a"]);
             const claims = new AnswerlessClaims();
             const askAgain = (requestId: string) =>
-                ask(handlerFor(agents, claims), jobFor(agents, { requestId, repeatable: false, idempotencyKey: "k" }));
+                ask(
+                    createHandler(agents, claims),
+                    createJob(agents, { requestId, repeatable: false, idempotencyKey: "k" }),
+                );
             expect((await askAgain("r0")).failure).toEqual(undefined);
             t.mock.timers.tick(3600_000);
-            // Another request makes the agent look for what it may forget.
+            // Another request triggers the agent's cleanup.
             const other = { requestId: "other", bodyFor: () => Buffer.from("other") };
-            await ask(handlerFor(agents), jobFor(agents, other));
+            await ask(createHandler(agents), createJob(agents, other));
             expect(outcomeOf((await askAgain("r1")).failure)).toEqual("ran");
             expect(agents.upstream.runs.get("r")).toEqual(1);
         });
     });
 
-    describe("an answer that broke off, and begins otherwise at the next replica", () => {
-        it("is not continued with the other's text", async () => {
-            const agents = new FakeAgents({ cuts: [], breaks: [3], restarts: [], varied: true }, ["a", "b"]);
-            const { text, failure } = await ask(handlerFor(agents), jobFor(agents, {}));
+    describe("a truncated response that differs at the next replica", () => {
+        it("is not continued with text from the other replica", async () => {
+            const agents = new FakeAgents({ disconnects: [], truncations: [3], restarts: [], varied: true }, [
+                "a",
+                "b",
+            ]);
+            const { text, failure } = await ask(createHandler(agents), createJob(agents, {}));
             expect(outcomeOf(failure)).toEqual("unknown");
             expect(text.includes("run 1") && !text.includes("run 2")).toEqual(true);
         });
     });
 
-    describe("a stream whose upstream ends it without the end mark", () => {
-        it("is not passed off as whole", async () => {
-            const agents = new FakeAgents({ cuts: [], breaks: [4, 4, 4, 4, 4, 4, 4, 4], restarts: [] }, ["a", "b"]);
-            const { failure } = await ask(handlerFor(agents), jobFor(agents, {}));
+    describe("a stream that ends without the end marker", () => {
+        it("is not reported as complete", async () => {
+            const agents = new FakeAgents({ disconnects: [], truncations: [4, 4, 4, 4, 4, 4, 4, 4], restarts: [] }, [
+                "a",
+                "b",
+            ]);
+            const { failure } = await ask(createHandler(agents), createJob(agents, {}));
             expect(outcomeOf(failure)).toEqual("unknown");
         });
     });
