--- a/packages/requests/src/tests/quarantines.test.ts
+++ b/packages/requests/src/tests/quarantines.test.ts
@@ -2,33 +2,33 @@
 import { expect } from "earl";
 import { describe, it, type TestContext } from "node:test";
 import { Claims, type Job, RequestFailure } from "../index.js";
-import { ask, deadly, FakeAgents, handlerFor, jobFor, quarantineFor, wholeText } from "./fakes.js";
+import { ask, crashingBody, createHandler, createJob, createQuarantine, FakeAgents, responseText } from "./fakes.js";
 
-/** What the leader's side takes to gather an end and write it, in milliseconds. */
+/** Time to collect a crash and write it to the log, in milliseconds. */
 const settleMs = 300;
 
-/** Two entries before the same agents, that share one replicated log. */
+/** Two entries with the same agents and a shared replicated log. */
 class TwoEntries {
-    public readonly agents = new FakeAgents({ cuts: [], breaks: [], restarts: [] }, ["a", "b", "c"]);
+    public readonly agents = new FakeAgents({ disconnects: [], truncations: [], restarts: [] }, ["a", "b", "c"]);
     private readonly book = new CrashBook();
-    private readonly ended = new AbortController();
-    private readonly quarantines = [quarantineFor(this.book), quarantineFor(this.book)];
+    private readonly stopped = new AbortController();
+    private readonly quarantines = [createQuarantine(this.book), createQuarantine(this.book)];
     private readonly claims = new Claims();
-    private readonly handlers = this.quarantines.map(one => handlerFor(this.agents, this.claims, one));
+    private readonly handlers = this.quarantines.map(one => createHandler(this.agents, this.claims, one));
 
     public constructor(private readonly t: TestContext) {
         t.mock.timers.enable({ apis: ["setTimeout", "Date"], now: 1_000_000 });
         this.book.apply({ kind: "set-key", key: "a2V5" }, { time: 0 });
-        this.quarantines.forEach(one => void one.run(this.ended.signal));
+        this.quarantines.forEach(one => void one.run(this.stopped.signal));
     }
 
-    /** Runs of the request that ends upstreams. */
-    public get deadlyRuns(): number {
-        return this.agents.upstream.runs.get(deadly) ?? 0;
+    /** Number of runs of the crashing request. */
+    public get crashingRuns(): number {
+        return this.agents.upstream.runs.get(crashingBody) ?? 0;
     }
 
     public async ask(entry: number, body: string, changes: Partial<Job> = {}) {
-        const job = jobFor(this.agents, {
+        const job = createJob(this.agents, {
             requestId: `${Math.random()}`,
             bodyFor: () => Buffer.from(body),
             ...changes,
@@ -38,8 +38,8 @@
         return result;
     }
 
-    public end(): void {
-        this.ended.abort();
+    public stop(): void {
+        this.stopped.abort();
     }
 
     private async settle(): Promise<void> {
@@ -55,37 +55,37 @@
     return failure instanceof RequestFailure ? `${failure.status} ${failure.code}` : "answered";
 }
 
-describe("at our own interface, a request that ends each upstream that runs it", () => {
-    it("is held back at every entry once three have ended", async t => {
+describe("a request that crashes every upstream that runs it", () => {
+    it("is rejected by every entry after three crashes", async t => {
         const entries = new TwoEntries(t);
         for (let index = 0; index < 6; index++) {
-            await entries.ask(index % 2, deadly);
+            await entries.ask(index % 2, crashingBody);
         }
-        const last = [await entries.ask(0, deadly), await entries.ask(1, deadly)].map(problemOf);
+        const last = [await entries.ask(0, crashingBody), await entries.ask(1, crashingBody)].map(problemOf);
         expect(last).toEqual(["422 request-ends-upstreams", "422 request-ends-upstreams"]);
-        expect(entries.deadlyRuns).toBeGreaterThanOrEqual(3);
-        expect(entries.deadlyRuns).toBeLessThanOrEqual(4);
-        entries.end();
+        expect(entries.crashingRuns).toBeGreaterThanOrEqual(3);
+        expect(entries.crashingRuns).toBeLessThanOrEqual(4);
+        entries.stop();
     });
 
-    it("is held back with an idempotency key too, and is said not to have run", async t => {
+    it("is also rejected with an idempotency key, with the outcome not-run", async t => {
         const entries = new TwoEntries(t);
         for (let index = 0; index < 6; index++) {
-            await entries.ask(index % 2, deadly);
+            await entries.ask(index % 2, crashingBody);
         }
-        const runs = entries.deadlyRuns;
-        const { failure } = await entries.ask(1, deadly, { idempotencyKey: "k", repeatable: false });
+        const runs = entries.crashingRuns;
+        const { failure } = await entries.ask(1, crashingBody, { idempotencyKey: "k", repeatable: false });
         expect((failure as RequestFailure).outcome).toEqual("not-run");
-        expect(entries.deadlyRuns).toEqual(runs);
-        entries.end();
+        expect(entries.crashingRuns).toEqual(runs);
+        entries.stop();
     });
 
-    it("leaves other requests alone, of the same caller too", async t => {
+    it("does not affect other requests of the same client", async t => {
         const entries = new TwoEntries(t);
         for (let index = 0; index < 6; index++) {
-            await entries.ask(index % 2, deadly);
+            await entries.ask(index % 2, crashingBody);
         }
-        expect((await entries.ask(0, "other")).text).toEqual(wholeText);
-        entries.end();
+        expect((await entries.ask(0, "other")).text).toEqual(responseText);
+        entries.stop();
     });
 });
--- a/packages/requests/src/tests/queues.test.ts
+++ b/packages/requests/src/tests/queues.test.ts
@@ -1,18 +1,18 @@
 import { Router } from "@winchpath/routing";
 import { expect } from "earl";
 import { describe, it, type TestContext } from "node:test";
-import { type Job, Queues, RequestFailure } from "../index.js";
-import { FakeAgents, jobFor } from "./fakes.js";
+import { type Job, RequestFailure, TargetQueues } from "../index.js";
+import { createJob, FakeAgents } from "./fakes.js";
 
 const replicaCapacity = 8;
 
-describe("a queue", () => {
+describe("TargetQueue", () => {
     function setUp(t: TestContext) {
         t.mock.timers.enable({ apis: ["setTimeout", "Date"] });
-        const agents = new FakeAgents({ cuts: [], breaks: [], restarts: [] }, ["a"]);
+        const agents = new FakeAgents({ disconnects: [], truncations: [], restarts: [] }, ["a"]);
         const router = new Router();
-        const queues = new Queues(router, 3);
-        const admit = (changes: Partial<Job>) => queues.of("m").admit(jobFor(agents, changes), new Map());
+        const queues = new TargetQueues(router, 3);
+        const admit = (changes: Partial<Job>) => queues.forTarget("m").admit(createJob(agents, changes), new Map());
         const fill = () => Array.from({ length: replicaCapacity }, () => router.loads.started("a"));
         return { router, queues, admit, fill };
     }
@@ -21,7 +21,7 @@
         await new Promise(resolve => setImmediate(resolve));
     }
 
-    it("lets the higher priority go first, then the caller that was served less", async t => {
+    it("dispatches by priority, then by the client with fewer dispatched requests", async t => {
         const { router, queues, admit, fill } = setUp(t);
         await admit({ caller: "greedy" });
         fill();
@@ -34,7 +34,7 @@
         ];
         for (let turn = 0; turn < 3; turn++) {
             router.loads.ended("a");
-            queues.pump();
+            queues.dispatch();
             router.loads.started("a");
             await settle();
         }
@@ -42,7 +42,7 @@
         expect(order).toEqual(["urgent", "modest", "greedy"]);
     });
 
-    it("gives the final answer at once where all replicas rest for too long, and waits for a short rest", async t => {
+    it("rejects at once if all replicas back off too long, and waits for a short backoff", async t => {
         const { router, queues, admit } = setUp(t);
         router.availability.rest("a-1", 3000);
         const failure = await admit({ startBy: Date.now() + 500 }).catch((err: unknown) => err as RequestFailure);
@@ -50,23 +50,26 @@
         expect([outcome, retryAfterMs! >= 3000, retryAfterMs! <= 3750]).toEqual(["not-run", true, true]);
         const waiting = admit({ startBy: Date.now() + 4000 });
         t.mock.timers.tick(3000);
-        queues.pump();
+        queues.dispatch();
         expect((await waiting).upstream).toEqual("a");
     });
 
-    it("gives the final answer at once when it is full, or the wait would be too long", async t => {
+    it("rejects at once if the queue is full or the expected wait is too long", async t => {
         const { queues, admit, fill } = setUp(t);
         fill();
-        queues.of("m").noteService(8000);
+        queues.forTarget("m").recordServiceTime(8000);
         const first = admit({});
-        await expect(admit({ startBy: Date.now() + 500 })).toBeRejectedWith(RequestFailure, /over the 500 ms/);
+        await expect(admit({ startBy: Date.now() + 500 })).toBeRejectedWith(
+            RequestFailure,
+            /over the 500 ms/,
+        );
         const others = [admit({}), admit({})];
         await expect(admit({})).toBeRejectedWith(RequestFailure, /3 requests wait already/);
         queues.close();
         await Promise.allSettled([first, ...others]);
     });
 
-    it("gives up a request whose time to start is over, with not-run and when to come back", async t => {
+    it("rejects a request at its start deadline with not-run and a retry delay", async t => {
         const { admit, fill } = setUp(t);
         fill();
         const waiting = admit({ startBy: Date.now() + 200 });
@@ -83,7 +86,7 @@
         ]);
     });
 
-    it("lets a request wait for a model without a ready replica until its deadline", async t => {
+    it("queues a request for a model without a ready replica until its deadline", async t => {
         const { queues, admit } = setUp(t);
         const failure = admit({ replicas: () => [], startBy: Date.now() + 10, deadline: Date.now() + 1000 })
             .then(() => undefined, (err: unknown) => err as RequestFailure);
@@ -94,12 +97,12 @@
         expect((await failure)?.code).toEqual("no-replica-ready");
     });
 
-    it("lets a caller leave", async t => {
+    it("removes a request when its client disconnects", async t => {
         const { queues, admit, fill } = setUp(t);
         fill();
-        const left = new AbortController();
-        const waiting = admit({ signal: left.signal });
-        left.abort();
+        const disconnected = new AbortController();
+        const waiting = admit({ signal: disconnected.signal });
+        disconnected.abort();
         await expect(waiting).toBeRejectedWith(RequestFailure, /caller left/);
         expect(queues.waiting("m")).toEqual(0);
     });
--- a/packages/requests/src/watches.ts
+++ b/packages/requests/src/watches.ts
@@ -1,40 +1,40 @@
-/** Attempts under way, and the ends of those whose agent has lost its lease. */
+/** Aborts running attempts whose agent has lost its lease. */
 import { type Registrar } from "@winchpath/upstream";
 
-interface Watched {
+interface MonitoredAttempt {
     readonly incarnation: string;
-    readonly lost: AbortController;
+    readonly leaseLost: AbortController;
 }
 
-export class AttemptWatch {
-    private readonly attempts = new Map<string, Set<Watched>>();
+export class AttemptMonitor {
+    private readonly attempts = new Map<string, Set<MonitoredAttempt>>();
 
     public constructor(private readonly registrar: Registrar) {}
 
     /** Runs `work` with a signal that is aborted when the upstream's lease or incarnation ends. */
-    public async *during<T>(
+    public async *run<T>(
         upstream: string,
         incarnation: string,
-        work: (lost: AbortSignal) => AsyncGenerator<T>,
+        work: (leaseLost: AbortSignal) => AsyncGenerator<T>,
     ): AsyncGenerator<T> {
-        const watched = { incarnation, lost: new AbortController() };
-        const same = this.attempts.get(upstream) ?? new Set();
-        this.attempts.set(upstream, same.add(watched));
+        const attempt = { incarnation, leaseLost: new AbortController() };
+        const attempts = this.attempts.get(upstream) ?? new Set();
+        this.attempts.set(upstream, attempts.add(attempt));
         try {
-            yield* work(watched.lost.signal);
+            yield* work(attempt.leaseLost.signal);
         }
         finally {
-            same.delete(watched);
+            attempts.delete(attempt);
         }
     }
 
-    /** The registrar has changed. */
-    public check(): void {
-        for (const [upstream, watched] of this.attempts) {
+    /** Call when the registrar has changed. */
+    public abortLostAttempts(): void {
+        for (const [upstream, attempts] of this.attempts) {
             const live = this.registrar.find(upstream);
-            for (const each of watched) {
-                if (live?.report.incarnation !== each.incarnation) {
-                    each.lost.abort();
+            for (const attempt of attempts) {
+                if (live?.report.incarnation !== attempt.incarnation) {
+                    attempt.leaseLost.abort();
                 }
             }
         }
--- a/packages/routing/src/loads.ts
+++ b/packages/routing/src/loads.ts
@@ -1,18 +1,18 @@
-/** How much each upstream has to do, as far as this entry can tell. */
+/** Estimates the load of each upstream. */
 import { type RoutedReplica } from "./replicas.js";
 
-/** Counts of the past that are kept to compare with late reports. */
-const keptSamples = 64;
+/** Number of past counts kept for comparison with delayed reports. */
+const maxSamples = 64;
 
-interface Running {
-    now: number;
-    /** When the count changed, and to what; oldest first. */
+interface RunningRequests {
+    current: number;
+    /** History of the count, oldest first. */
     readonly samples: { readonly at: number; readonly count: number; }[];
 }
 
-/** This entry's own running requests, now and in the recent past. */
-export class LoadBook {
-    private readonly upstreams = new Map<string, Running>();
+/** Counts this entry's running requests, with recent history. */
+export class LoadTracker {
+    private readonly upstreams = new Map<string, RunningRequests>();
 
     public started(upstream: string): void {
         this.change(upstream, 1);
@@ -23,25 +23,25 @@
     }
 
     public running(upstream: string): number {
-        return this.upstreams.get(upstream)?.now ?? 0;
+        return this.upstreams.get(upstream)?.current ?? 0;
     }
 
     /**
-     * Requests at a replica: this entry's own as of now, and those of others as of
-     * the report. What this entry had there at that time is in the report already.
+     * Estimates the requests at a replica: this entry's current ones plus those of other entries
+     * at the time of the report. The report includes this entry's requests of that time, so they are subtracted.
      */
     public estimate(replica: RoutedReplica): number {
         const known = this.upstreams.get(replica.upstream);
         const sample = known?.samples.findLast(({ at }) => at <= replica.reportedAt) ?? known?.samples[0];
-        const ownThen = sample?.count ?? 0;
-        return (known?.now ?? 0) + Math.max(0, replica.reportedLoad - ownThen);
+        const ownAtReport = sample?.count ?? 0;
+        return (known?.current ?? 0) + Math.max(0, replica.reportedLoad - ownAtReport);
     }
 
-    private change(upstream: string, by: number): void {
-        const known = this.upstreams.get(upstream) ?? { now: 0, samples: [] };
-        known.now += by;
-        known.samples.push({ at: Date.now(), count: known.now });
-        if (known.samples.length > keptSamples) {
+    private change(upstream: string, delta: number): void {
+        const known = this.upstreams.get(upstream) ?? { current: 0, samples: [] };
+        known.current += delta;
+        known.samples.push({ at: Date.now(), count: known.current });
+        if (known.samples.length > maxSamples) {
             known.samples.shift();
         }
         this.upstreams.set(upstream, known);
--- a/packages/routing/src/pickers.ts
+++ b/packages/routing/src/pickers.ts
@@ -1,19 +1,19 @@
-/** The choice among ready replicas. */
-import { type LoadBook } from "./loads.js";
+/** Load-balancing policies. */
+import { type LoadTracker } from "./loads.js";
 import { type RoutedReplica } from "./replicas.js";
 
-/** What is known of the request when its replica is chosen. */
+/** Request properties that affect the choice of a replica. */
 export interface PickContext {
-    /** Digest of the prompt's beginning; requests with the same one profit from one cache. */
+    /** Digest of the prompt prefix; requests with the same prefix benefit from the same replica's cache. */
     readonly prefix: string | undefined;
 }
 
 export interface Picker {
-    /** One of the candidates, of which there is at least one. */
+    /** Picks one of the candidates, which must not be empty. */
     pick(candidates: readonly RoutedReplica[], context: PickContext): RoutedReplica;
 }
 
-/** The one to compare with: each in turn. */
+/** Baseline for benchmarks. */
 export class RoundRobinPicker implements Picker {
     private next = 0;
 
@@ -23,51 +23,52 @@
     }
 }
 
-/** Load above the average, as a factor, up to which a prefix keeps its replica. */
-const affinityBound = 1.25;
-/** Difference in use that is worth less than a cached prefix. */
-const affinitySlack = 0.15;
+/** A prefix keeps its replica up to this multiple of the average utilization. */
+const affinityLoadFactor = 1.25;
+/** Added to that bound, so that small differences in utilization do not override cache affinity. */
+const affinityTolerance = 0.15;
 
 /**
- * The less loaded of two random candidates; but a prefix goes to its own replica
- * (by rendezvous hashing) as long as that one is not much more loaded than the rest.
+ * Prefers a prefix's replica by rendezvous hashing, with bounded load; otherwise
+ * picks the less loaded of two random candidates.
  */
 export class LoadAwarePicker implements Picker {
-    public constructor(private readonly loads: LoadBook, private readonly random: () => number = Math.random) {}
+    public constructor(private readonly loads: LoadTracker, private readonly random: () => number = Math.random) {}
 
     public pick(candidates: readonly RoutedReplica[], context: PickContext): RoutedReplica {
         if (candidates.length === 1) {
             return candidates[0];
         }
-        const preferred = context.prefix === undefined ? undefined : preferredOf(context.prefix, candidates);
+        const preferred = context.prefix === undefined ? undefined : rendezvousChoice(context.prefix, candidates);
         if (
             preferred !== undefined
-            && this.use(preferred) <= this.averageUse(candidates) * affinityBound + affinitySlack
+            && this.utilization(preferred)
+                <= this.averageUtilization(candidates) * affinityLoadFactor + affinityTolerance
         ) {
             return preferred;
         }
-        const [first, second] = this.twoOf(candidates);
-        return this.use(second) < this.use(first) ? second : first;
+        const [first, second] = this.randomPair(candidates);
+        return this.utilization(second) < this.utilization(first) ? second : first;
     }
 
-    /** Requests there and on the way, in shares of its capacity. */
-    private use(replica: RoutedReplica): number {
+    /** Estimated requests at a replica relative to its capacity. */
+    private utilization(replica: RoutedReplica): number {
         return this.loads.estimate(replica) / replica.capacity;
     }
 
-    private averageUse(candidates: readonly RoutedReplica[]): number {
-        return candidates.reduce((sum, candidate) => sum + this.use(candidate), 0) / candidates.length;
+    private averageUtilization(candidates: readonly RoutedReplica[]): number {
+        return candidates.reduce((sum, candidate) => sum + this.utilization(candidate), 0) / candidates.length;
     }
 
-    private twoOf(candidates: readonly RoutedReplica[]): [RoutedReplica, RoutedReplica] {
+    private randomPair(candidates: readonly RoutedReplica[]): [RoutedReplica, RoutedReplica] {
         const first = Math.floor(this.random() * candidates.length);
         const step = 1 + Math.floor(this.random() * (candidates.length - 1));
         return [candidates[first], candidates[(first + step) % candidates.length]];
     }
 }
 
-/** The candidate with the highest hash of prefix and name: few prefixes move when candidates come and go. */
-function preferredOf(prefix: string, candidates: readonly RoutedReplica[]): RoutedReplica {
+/** Rendezvous hashing: only few prefixes move when candidates change. */
+function rendezvousChoice(prefix: string, candidates: readonly RoutedReplica[]): RoutedReplica {
     const score = (candidate: RoutedReplica) => hash(`${prefix}/${candidate.upstream}`);
     return candidates.reduce((best, candidate) => score(candidate) > score(best) ? candidate : best);
 }
@@ -75,7 +76,7 @@
 const fnvOffset = 0x811c9dc5;
 const fnvPrime = 0x01000193;
 
-/** FNV-1a with a final mix, 32 bits. */
+/** 32-bit FNV-1a with a finalizer. */
 function hash(text: string): number {
     let value = fnvOffset;
     for (let index = 0; index < text.length; index++) {
--- a/packages/routing/src/replicas.ts
+++ b/packages/routing/src/replicas.ts
@@ -1,73 +1,73 @@
-/** Where a request can go: the ready replicas of its target. */
+/** Finds the ready replicas of a target. */
 import { type Item, type Target } from "@winchpath/declarations";
 import { type LiveUpstream } from "@winchpath/upstream";
 
-/** One upstream that is ready for a target. */
+/** An upstream that is ready to serve a target. */
 export interface RoutedReplica {
     readonly upstream: string;
     readonly url: string;
     readonly incarnation: string;
     readonly dataCentre: string;
-    /** "name@version" to ask the engine for; empty for a plain service. */
+    /** "name@version" to request from the engine; empty for a plain service. */
     readonly item: string;
-    /** Requests that it serves at once at full speed. */
+    /** Requests that it can process concurrently at full speed. */
     readonly capacity: number;
-    /** Requests in it as it last told, and Date.now() as of which. */
+    /** Requests at the upstream according to its latest report, and the Date.now() at which that was measured. */
     readonly reportedLoad: number;
     readonly reportedAt: number;
-    /** Number of its newest report; see `RunRequest.seen_report`. */
+    /** Sequence number of its latest report; see `RunRequest.seen_report`. */
     readonly sequence: bigint;
 }
 
-/** A leaver gets no new work this long after it has told. */
-const leavingGraceMs = 1500;
+/** A draining upstream gets no requests once this much time has passed since its announcement. */
+const drainGraceMs = 1500;
 const engine = "engine";
 
-/** An upstream that holds a target, and the item to ask it for. */
-export interface Holder {
+/** An upstream that serves a target, and the item to request from it. */
+export interface TargetReplica {
     readonly upstream: string;
     /** "name@version"; empty for a plain service. */
     readonly item: string;
 }
 
 /**
- * Holders of the declared version; those of an earlier version only while no
- * upstream is ready for the declared one.
+ * Returns upstreams with the declared version, or those with an earlier version
+ * while no upstream has the declared one ready.
  */
-export function holdersOf(target: Target, live: readonly LiveUpstream[]): Holder[] {
+export function findTargetReplicas(target: Target, live: readonly LiveUpstream[]): TargetReplica[] {
     const engines = live.filter(({ report }) => report.service === engine);
-    const current = engines.flatMap(each => holderOf(each, [target.model, target.adapter]));
-    return current.length > 0 ? current : engines.flatMap(each => earlierVersion(each, target));
+    const current = engines.flatMap(each => currentVersionReplica(each, [target.model, target.adapter]));
+    return current.length > 0 ? current : engines.flatMap(each => earlierVersionReplica(each, target));
 }
 
-/** Upstreams of a plain service. */
-export function holdersOfService(service: string, live: readonly LiveUpstream[]): Holder[] {
+/** Returns the upstreams of a plain service. */
+export function findServiceReplicas(service: string, live: readonly LiveUpstream[]): TargetReplica[] {
     return live.filter(({ report }) => report.service === service).map(({ report }) => ({
         upstream: report.upstream,
         item: "",
     }));
 }
 
-/** The holders that have a lease now, with their newest reports; leavers only while there is no other. */
+/** Returns the replicas with a current lease; draining ones only if there are no others. */
 export function routedReplicas(
-    holders: readonly Holder[],
+    targetReplicas: readonly TargetReplica[],
     find: (upstream: string) => LiveUpstream | undefined,
     drained: ReadonlyMap<string, number>,
 ): RoutedReplica[] {
-    const live = holders.flatMap(({ upstream, item }) => {
+    const live = targetReplicas.flatMap(({ upstream, item }) => {
         const found = find(upstream);
-        return found === undefined ? [] : [{ found, replica: routed(found, item) }];
+        return found === undefined ? [] : [{ found, replica: toRoutedReplica(found, item) }];
     });
-    return withoutLeavers(live.map(({ replica }) => replica), live.map(({ found }) => found), drained);
+    return excludeDraining(live.map(({ replica }) => replica), live.map(({ found }) => found), drained);
 }
 
-function holderOf(live: LiveUpstream, items: readonly (Item | undefined)[]): Holder[] {
+function currentVersionReplica(live: LiveUpstream, items: readonly (Item | undefined)[]): TargetReplica[] {
     const ids = items.filter(item => item !== undefined).map(item => item.id);
     const holds = [...live.ready.values()].some(ready => ids.every(id => ready.has(id)));
     return holds ? [{ upstream: live.report.upstream, item: ids.at(-1)! }] : [];
 }
 
-function earlierVersion(live: LiveUpstream, target: Target): Holder[] {
+function earlierVersionReplica(live: LiveUpstream, target: Target): TargetReplica[] {
     const names = [target.model.name, target.adapter?.name].filter(name => name !== undefined);
     for (const ready of live.ready.values()) {
         const ids = names.map(name => [...ready].find(id => id.startsWith(`${name}@`)));
@@ -78,26 +78,26 @@
     return [];
 }
 
-function withoutLeavers(
+function excludeDraining(
     found: readonly RoutedReplica[],
     live: readonly LiveUpstream[],
     drained: ReadonlyMap<string, number>,
 ): RoutedReplica[] {
-    const leavingSince = new Map<string, number>();
+    const drainingSince = new Map<string, number>();
     live.forEach(({ report, leavingSince: since }) => {
-        const told = since ?? drained.get(report.upstream);
-        if (told !== undefined) {
-            leavingSince.set(report.upstream, told);
+        const announcedAt = since ?? drained.get(report.upstream);
+        if (announcedAt !== undefined) {
+            drainingSince.set(report.upstream, announcedAt);
         }
     });
-    const staying = found.filter(replica => !leavingSince.has(replica.upstream));
-    if (staying.length > 0) {
-        return staying;
+    const remaining = found.filter(replica => !drainingSince.has(replica.upstream));
+    if (remaining.length > 0) {
+        return remaining;
     }
-    return found.filter(replica => Date.now() - leavingSince.get(replica.upstream)! <= leavingGraceMs);
+    return found.filter(replica => Date.now() - drainingSince.get(replica.upstream)! <= drainGraceMs);
 }
 
-function routed(live: LiveUpstream, item: string): RoutedReplica {
+function toRoutedReplica(live: LiveUpstream, item: string): RoutedReplica {
     const { report, heardAt } = live;
     const speed = Math.max(1, ...report.accelerators.map(accelerator => accelerator.speed));
     return {
--- a/packages/routing/src/routers.ts
+++ b/packages/routing/src/routers.ts
@@ -1,30 +1,30 @@
-/** Chooses a replica for each request, and learns from what comes of it. */
+/** Selects a replica for each request, based on load, ejections and reported availability. */
 import { AvailabilityBook, withoutResting } from "@winchpath/availability";
 import { EjectionBook } from "./ejections.js";
-import { LoadBook } from "./loads.js";
+import { LoadTracker } from "./loads.js";
 import { LoadAwarePicker, type PickContext, type Picker } from "./pickers.js";
 import { type RoutedReplica } from "./replicas.js";
 
-/** Requests at a replica, in multiples of its capacity, from which on others wait at the entry. */
-const fullUse = 1;
+/** Utilization at which a replica is full and further requests are queued at the entry. */
+const fullUtilization = 1;
 
-/** What can be said of where a request could go. */
+/** Result of a routing decision. */
 export type Route =
     | { readonly tag: "replica"; readonly replica: RoutedReplica; }
-    /** There are replicas, but all have enough to do. */
+    /** All replicas are at capacity. */
     | { readonly tag: "full"; }
-    /** There are replicas, but all have asked this entry for rest; `until`: steady time of the first end. */
+    /** All replicas are backing off; `until` is the monotonic time at which the first backoff ends. */
     | { readonly tag: "resting"; readonly until: number; }
     /** No replica is ready. */
     | { readonly tag: "none"; };
 
-/** Replicas that failed a request, with the number of the newest report that was known then. */
-export type Tried = ReadonlyMap<string, bigint>;
+/** Replicas that failed a request, with the sequence number of their latest report at that time. */
+export type AttemptedReplicas = ReadonlyMap<string, bigint>;
 
 export class Router {
-    public readonly loads = new LoadBook();
+    public readonly loads = new LoadTracker();
     public readonly ejections = new EjectionBook();
-    /** What agents have said of the upstreams beside them, by incarnation. */
+    /** Availability reported by agents, by upstream incarnation. */
     public readonly availability = new AvailabilityBook();
     private readonly picker: Picker;
 
@@ -32,25 +32,31 @@
         this.picker = picker ?? new LoadAwarePicker(this.loads);
     }
 
-    /** Chooses among `replicas`, without those that failed the request and were not heard since. */
-    public route(replicas: readonly RoutedReplica[], tried: Tried, context: PickContext): Route {
-        const untried = replicas.filter(({ upstream, sequence }) => sequence !== tried.get(upstream));
+    /** Selects one of `replicas`, excluding those that failed the request and have not reported since. */
+    public route(
+        replicas: readonly RoutedReplica[],
+        attemptedReplicas: AttemptedReplicas,
+        context: PickContext,
+    ): Route {
+        const untried = replicas.filter(({ upstream, sequence }) => sequence !== attemptedReplicas.get(upstream));
         if (untried.length === 0) {
             return { tag: "none" };
         }
-        const staying = untried.filter(({ incarnation }) => !this.availability.isLeaving(incarnation));
-        if (staying.length === 0) {
+        const notShuttingDown = untried.filter(({ incarnation }) => !this.availability.isLeaving(incarnation));
+        if (notShuttingDown.length === 0) {
             return { tag: "none" };
         }
-        const { awake, until } = withoutResting(this.availability, staying, ({ incarnation }) => incarnation);
+        const { awake, until } = withoutResting(this.availability, notShuttingDown, ({ incarnation }) => incarnation);
         if (awake.length === 0) {
             return { tag: "resting", until };
         }
-        const admitted = this.ejections.admitted(awake);
-        const open = admitted.filter(replica => this.loads.estimate(replica) < replica.capacity * fullUse);
-        if (open.length === 0) {
+        const notEjected = this.ejections.admitted(awake);
+        const underCapacity = notEjected.filter(replica =>
+            this.loads.estimate(replica) < replica.capacity * fullUtilization
+        );
+        if (underCapacity.length === 0) {
             return { tag: "full" };
         }
-        return { tag: "replica", replica: this.picker.pick(open, context) };
+        return { tag: "replica", replica: this.picker.pick(underCapacity, context) };
     }
 }
--- a/packages/routing/src/tables.ts
+++ b/packages/routing/src/tables.ts
@@ -1,59 +1,64 @@
-/** The routing table of an entry: which upstreams are ready for what. */
+/** An entry's routing table: the ready upstreams of each target. */
 import { type Catalogue } from "@winchpath/declarations";
 import { type Registrar } from "@winchpath/upstream";
-import { type Holder, holdersOf, holdersOfService, type RoutedReplica, routedReplicas } from "./replicas.js";
+import {
+    findServiceReplicas,
+    findTargetReplicas,
+    type RoutedReplica,
+    routedReplicas,
+    type TargetReplica,
+} from "./replicas.js";
 
-/** What the table is made of. */
-export interface RoutingTableParts {
+export interface RoutingTableDependencies {
     readonly registrar: Registrar;
     readonly catalogue: () => Catalogue;
-    /** Upstreams that are drained, with Date.now() as of when this process knows. */
+    /** Drained upstreams, with the Date.now() at which this process learned of each. */
     readonly drainedSince: () => ReadonlyMap<string, number>;
 }
 
 /**
- * Looks through all upstreams only once for each target, until an upstream or a
- * declaration changes; a request costs no more than its own target's replicas.
+ * Caches the replicas of each target until upstreams or declarations change, so
+ * that the cost of a request does not depend on the total number of upstreams.
  */
 export class RoutingTable {
-    private holders = new Map<string, Holder[]>();
+    private targetReplicas = new Map<string, TargetReplica[]>();
     private structure = -1;
     private revision = -1;
 
-    public constructor(private readonly parts: RoutingTableParts) {}
+    public constructor(private readonly dependencies: RoutingTableDependencies) {}
 
-    /** Replicas that are ready for a model or adapter now. */
+    /** Returns the ready replicas of a model or adapter. */
     public replicasOf(name: string): RoutedReplica[] {
-        const { registrar, catalogue } = this.parts;
-        return this.routed(`target/${name}`, () => {
+        const { registrar, catalogue } = this.dependencies;
+        return this.resolve(`target/${name}`, () => {
             const target = catalogue().target(name);
-            return target === undefined ? [] : holdersOf(target, registrar.live());
+            return target === undefined ? [] : findTargetReplicas(target, registrar.live());
         });
     }
 
-    /** Upstreams of a plain service now. */
+    /** Returns the upstreams of a plain service. */
     public replicasOfService(name: string): RoutedReplica[] {
-        return this.routed(`service/${name}`, () => holdersOfService(name, this.parts.registrar.live()));
+        return this.resolve(`service/${name}`, () => findServiceReplicas(name, this.dependencies.registrar.live()));
     }
 
-    private routed(key: string, find: () => Holder[]): RoutedReplica[] {
-        const { registrar, drainedSince } = this.parts;
-        this.forgetOld();
-        let holders = this.holders.get(key);
-        if (holders === undefined) {
-            holders = find();
-            this.holders.set(key, holders);
+    private resolve(key: string, find: () => TargetReplica[]): RoutedReplica[] {
+        const { registrar, drainedSince } = this.dependencies;
+        this.invalidateIfChanged();
+        let cached = this.targetReplicas.get(key);
+        if (cached === undefined) {
+            cached = find();
+            this.targetReplicas.set(key, cached);
         }
-        return routedReplicas(holders, upstream => registrar.find(upstream), drainedSince());
+        return routedReplicas(cached, upstream => registrar.find(upstream), drainedSince());
     }
 
-    private forgetOld(): void {
-        const { structure } = this.parts.registrar;
-        const { revision } = this.parts.catalogue();
+    private invalidateIfChanged(): void {
+        const { structure } = this.dependencies.registrar;
+        const { revision } = this.dependencies.catalogue();
         if (structure !== this.structure || revision !== this.revision) {
             this.structure = structure;
             this.revision = revision;
-            this.holders = new Map();
+            this.targetReplicas = new Map();
         }
     }
 }
--- a/packages/routing/src/tests/routing.test.ts
+++ b/packages/routing/src/tests/routing.test.ts
@@ -7,7 +7,7 @@
 import {
     EjectionBook,
     LoadAwarePicker,
-    LoadBook,
+    LoadTracker,
     RoundRobinPicker,
     type RoutedReplica,
     Router,
@@ -34,37 +34,37 @@
 }
 
 describe("LoadBook", () => {
-    it("adds others' requests as reported to its own as they are now", t => {
+    it("adds the reported requests of other entries to its own current ones", t => {
         mockTime(t);
-        const loads = new LoadBook();
+        const loads = new LoadTracker();
         loads.started("a");
         loads.started("a");
         t.mock.timers.tick(100);
-        // The report saw five, two of them ours; since then one of ours has ended.
+        // Two of the five reported requests are this entry's; one of them has ended since.
         const reported = replica("a", { reportedLoad: 5, reportedAt: Date.now() });
         t.mock.timers.tick(100);
         loads.ended("a");
         expect(loads.estimate(reported)).toEqual(4);
     });
 
-    it("is not misled by a late report into counting its own twice", t => {
+    it("does not count its own requests twice when a report is delayed", t => {
         mockTime(t);
-        const loads = new LoadBook();
+        const loads = new LoadTracker();
         Array.from({ length: 3 }, () => loads.started("a"));
         expect(loads.estimate(replica("a", { reportedLoad: 0, reportedAt: Date.now() - 5000 }))).toEqual(3);
     });
 });
 
 describe("LoadAwarePicker", () => {
-    it("takes the less loaded of two", () => {
-        const loads = new LoadBook();
+    it("picks the less loaded of two candidates", () => {
+        const loads = new LoadTracker();
         Array.from({ length: 3 }, () => loads.started("a"));
         const picker = new LoadAwarePicker(loads, () => 0);
         expect(picker.pick([replica("a"), replica("b")], { prefix: undefined }).upstream).toEqual("b");
     });
 
-    it("keeps a prefix where it is, until that replica is much more loaded than the rest", () => {
-        const loads = new LoadBook();
+    it("keeps a prefix on its replica until that is much more loaded than the others", () => {
+        const loads = new LoadTracker();
         const picker = new LoadAwarePicker(loads, () => 0);
         const candidates = ["a", "b", "c"].map(name => replica(name));
         const preferred = picker.pick(candidates, { prefix: "p" }).upstream;
@@ -75,7 +75,7 @@
 });
 
 describe("RoundRobinPicker", () => {
-    it("takes each in turn", () => {
+    it("picks candidates in turn", () => {
         const picker = new RoundRobinPicker();
         const candidates = ["a", "b"].map(name => replica(name));
         expect([1, 2, 3, 4].map(() => picker.pick(candidates).upstream)).toEqual(["b", "a", "b", "a"]);
@@ -83,7 +83,7 @@
 });
 
 describe("EjectionBook", () => {
-    it("leaves a failing replica out, lets one probe in, and leaves it out longer when that fails", t => {
+    it("ejects a failing replica, admits one probe, and doubles the ejection if the probe fails", t => {
         mockTime(t);
         const book = new EjectionBook();
         const replicas = ["a", "b", "c"].map(name => replica(name));
@@ -103,7 +103,7 @@
         expect(admitted()).toEqual(["a", "b", "c"]);
     });
 
-    it("never leaves out more than half", () => {
+    it("never ejects more than half of the replicas", () => {
         const book = new EjectionBook();
         const replicas = ["a", "b"].map(name => replica(name));
         ["a", "b"].forEach(name => Array.from({ length: 3 }, () => book.failed(name)));
@@ -112,7 +112,7 @@
 });
 
 describe("Router", () => {
-    it("tells a full replica from none, and tries a failed one again only once it was heard", () => {
+    it("distinguishes full from missing replicas, and retries a failed one only after its next report", () => {
         const router = new Router();
         const context = { prefix: undefined };
         expect(router.route([], new Map(), context).tag).toEqual("none");
@@ -123,7 +123,7 @@
         expect(router.route([replica("b", { sequence: 2n })], tried, context).tag).toEqual("replica");
     });
 
-    it("leaves out those that rest or leave, however many, by incarnation", t => {
+    it("excludes replicas that back off or shut down, by incarnation", t => {
         mockTime(t);
         const router = new Router();
         const [a, b] = ["a", "b"].map(name => replica(name, { incarnation: `${name}-1` }));
@@ -173,7 +173,7 @@
         return { hear, items, drained };
     }
 
-    it("gives an earlier version only until the declared one is ready anywhere", () => {
+    it("uses an earlier version only until the declared one is ready on any upstream", () => {
         const { hear, items } = setUp();
         hear("x", "m@1");
         expect(items()).toEqual(["x m@1"]);
@@ -181,7 +181,7 @@
         expect(items()).toEqual(["y m@2"]);
     });
 
-    it("gives a leaver only while there is no other, and never after its grace", t => {
+    it("uses a draining replica only if there are no others, and never after its grace period", t => {
         mockTime(t);
         const { hear, items, drained } = setUp();
         hear("x", "m@2", true);
