--- a/packages/core/src/buckets.ts
+++ b/packages/core/src/buckets.ts
@@ -1,28 +1,28 @@
-/** A bucket that fills at a rate up to its size, and may be overdrawn by what was let through elsewhere. */
+/** A token bucket that can be overdrawn, since units may also be granted elsewhere. */
 import { steadyNow } from "./clocks.js";
 
 export class TokenBucket {
-    private filledAt = steadyNow();
+    private refilledAt = steadyNow();
 
-    public constructor(private perSecond: number, private size: number, private held = size) {}
+    public constructor(private perSecond: number, private capacity: number, private available = capacity) {}
 
-    /** What may be taken now; below 0 where more was taken than there was. */
+    /** Units available now; negative if the bucket is overdrawn. */
     public get level(): number {
         const now = steadyNow();
-        this.held = Math.min(this.size, this.held + this.perSecond * (now - this.filledAt) / 1000);
-        this.filledAt = now;
-        return this.held;
+        this.available = Math.min(this.capacity, this.available + this.perSecond * (now - this.refilledAt) / 1000);
+        this.refilledAt = now;
+        return this.available;
     }
 
-    /** Takes units out, or gives them back where the count is below 0. */
+    /** Removes units without checking the level; a negative count returns units. */
     public take(units: number): void {
-        this.held = Math.min(this.size, this.level - units);
+        this.available = Math.min(this.capacity, this.level - units);
     }
 
-    /** Goes on at another rate, holding no more than the new size. */
+    /** Changes rate and capacity; units above the new capacity are lost. */
     public resize(perSecond: number, size: number): void {
-        this.held = Math.min(this.level, size);
+        this.available = Math.min(this.level, size);
         this.perSecond = perSecond;
-        this.size = size;
+        this.capacity = size;
     }
 }
--- a/packages/core/src/clocks.ts
+++ b/packages/core/src/clocks.ts
@@ -1,13 +1,12 @@
-/** The clock for durations: it never jumps, whatever happens to the time of day. */
+/** A monotonic clock. */
 
-/** As it was when the process started; a test that pauses the clock puts another in its place. */
+/** The original `Date.now`, used to detect tests that mock it. */
 const systemNow = Date.now;
 
 /**
- * Whole milliseconds since some moment in the past. Timeouts, leases and ages
- * are measured with it: the time of day may step by hours while a process runs.
- * They are whole since timeouts of RPCs have to be.
- * Where a test pauses `Date`, it follows the paused clock.
+ * Milliseconds since an arbitrary moment, unaffected by changes of the system
+ * time; for timeouts, leases and ages. The value is an integer because RPC
+ * timeouts must be. Follows `Date` while a test mocks it.
  */
 export function steadyNow(): number {
     return Date.now === systemNow ? Math.floor(performance.now()) : Date.now();
--- a/packages/core/src/errors.ts
+++ b/packages/core/src/errors.ts
@@ -1,19 +1,19 @@
 /**
- * Errors are data: a list of issues, each with a code, a path and a message.
- * `Failure` carries them where an exception is the customary way out.
+ * Errors as data: a list of issues, each with a code, a path and a message.
+ * `Failure` wraps them in an exception.
  */
 
-/** Every way in which an operation of this project can fail. */
+/** Error codes of all operations. */
 export const FailureCode = {
     /** A setting, declaration or request does not match its schema. */
     invalid: "invalid",
-    /** The named thing does not exist. */
+    /** The named resource, file or other object does not exist. */
     notFound: "not-found",
-    /** Another change was accepted first. */
+    /** Conflicts with a change that was accepted earlier. */
     conflict: "conflict",
     /** No leader of the control group is known; nothing was proposed. */
     noLeader: "no-leader",
-    /** The outcome of a proposal is not known; it may be resent under its change id. */
+    /** The outcome of a proposal is unknown; it can be resent with the same change id. */
     outcomeUnknown: "outcome-unknown",
     /** The process is stopping. */
     stopping: "stopping",
@@ -21,13 +21,13 @@
     corruptLog: "corrupt-log",
     /** A file of the data folder could not be written or synced. */
     storage: "storage",
-    /** Time ran out. */
+    /** The operation timed out. */
     timeout: "timeout",
-    /** The caller or peer did not show the shared key. */
+    /** The caller or peer did not present the shared key. */
     unauthenticated: "unauthenticated",
     /** A queue, body or window is full. */
     overloaded: "overloaded",
-    /** The environment is one that the process refuses to run in. */
+    /** The process does not support the environment in which it was started. */
     environment: "environment",
     /** A peer or upstream could not be reached. */
     unreachable: "unreachable",
@@ -35,15 +35,15 @@
 
 export type FailureCode = typeof FailureCode[keyof typeof FailureCode];
 
-/** One finding: what is wrong, and where. */
+/** A single problem and its location. */
 export interface Issue {
     readonly code: FailureCode;
-    /** Keys and indexes that lead to the value, outermost first. */
+    /** Keys and indexes leading to the value, outermost first. */
     readonly path: readonly (string | number)[];
     readonly message: string;
 }
 
-/** An exception that carries issues. Its message joins those of the issues. */
+/** An exception that carries issues. Its message is the list of the formatted issues. */
 export class Failure extends Error {
     public readonly issues: readonly Issue[];
 
@@ -58,18 +58,18 @@
         return this.issues[0].code;
     }
 
-    /** A failure with one issue. */
+    /** Creates a failure with a single issue. */
     public static of(code: FailureCode, message: string, path: readonly (string | number)[] = []): Failure {
         return new Failure([{ code, path, message }]);
     }
 }
 
-/** Writes an issue as `path: message`, or as the message alone where there is no path. */
+/** Formats an issue as `path: message`, or as the message alone if the path is empty. */
 export function formatIssue(issue: Issue): string {
     return issue.path.length === 0 ? issue.message : `${issue.path.join(".")}: ${issue.message}`;
 }
 
-/** The message of anything that was thrown. */
+/** Returns the message of any thrown value. */
 export function messageOf(err: unknown): string {
     return err instanceof Error ? err.message : String(err);
 }
--- a/packages/core/src/eventlogs.ts
+++ b/packages/core/src/eventlogs.ts
@@ -1,121 +1,121 @@
 /**
- * Structured logs: one JSON line an event, on standard output. Writing never
- * blocks, and the volume is bounded: each kind of event has a number of lines
- * a second, and what is left out is counted and said.
+ * Structured logging: one JSON line per event on standard output. Writing never
+ * blocks. Each kind of event is rate-limited; suppressed lines are counted and
+ * reported.
  */
 import { pino } from "pino";
 import { steadyNow } from "./clocks.js";
 
-/** Values that may stand in an event. Secrets are never passed. */
+/** Fields of an event. Must not contain secrets. */
 export type EventValues = Readonly<Record<string, unknown>>;
 
-/** Where a process tells what it decides and believes. */
+/** Log of a process's decisions and state changes. */
 export interface EventLog {
-    /** An ordinary decision or change. */
+    /** Logs a normal decision or change. */
     info(event: string, values?: EventValues): void;
-    /** Something that failed or was lost; left out last. */
+    /** Logs a failure or loss; has a higher rate limit. */
     warn(event: string, values?: EventValues): void;
 }
 
-/** Drops everything; for tests and tools. */
+/** Discards all events; for tests and tools. */
 export const silentLog: EventLog = { info: () => undefined, warn: () => undefined };
 
-/** Lines a second of one kind of ordinary event; a busy entry forwards a few hundred requests a second. */
-const infoPerSecond = 300;
-/** Lines a second of one kind of failure. */
-const warnPerSecond = 600;
-/** Bytes that wait for a slow reader of standard output before lines are dropped. */
+/** Lines per second for each kind of normal event. */
+const maxInfoLinesPerSecond = 300;
+/** Lines per second for each kind of failure. */
+const maxWarnLinesPerSecond = 600;
+/** Bytes buffered for a slow reader of standard output before lines are dropped. */
 const maxBufferedBytes = 1 << 20;
-/** Bytes that are gathered before they are written. */
-const chunkBytes = 4096;
-/** Time in milliseconds after which gathered lines are written, however few. */
-const flushMs = 250;
+/** Bytes that are buffered before a write. */
+const minWriteBytes = 4096;
+/** Interval in milliseconds at which buffered lines are written regardless of their size. */
+const flushIntervalMs = 250;
 
-interface Allowance {
-    lines: number;
-    left: number;
+interface LineCount {
+    written: number;
+    suppressed: number;
 }
 
-/** Writes to standard output through a buffer. */
+/** Writes events to standard output through a bounded buffer. */
 export class StandardEventLog implements EventLog {
     private readonly output = pino.destination({
         dest: 1,
         sync: false,
-        minLength: chunkBytes,
+        minLength: minWriteBytes,
         maxLength: maxBufferedBytes,
     });
-    private lines;
-    private readonly kinds = new Map<string, Allowance>();
+    private logger;
+    private readonly lineCounts = new Map<string, LineCount>();
     private readonly timer: NodeJS.Timeout;
     private windowStart = steadyNow();
     private droppedLines = 0;
 
     public constructor(process: string) {
-        this.lines = pino({ base: { process }, timestamp: pino.stdTimeFunctions.epochTime }, this.output);
+        this.logger = pino({ base: { process }, timestamp: pino.stdTimeFunctions.epochTime }, this.output);
         this.output.on("drop", () => this.droppedLines++);
-        // A closed standard output must not end the process; there is nobody left to tell.
+        // A closed standard output must not terminate the process.
         this.output.on("error", () => this.droppedLines++);
-        this.timer = setInterval(() => this.flush(), flushMs);
+        this.timer = setInterval(() => this.flush(), flushIntervalMs);
         this.timer.unref();
     }
 
-    /** Names the host in all lines from now on, once the settings have told it. */
+    /** Adds the host to all further lines, once it is known from the settings. */
     public nameHost(host: string): void {
-        this.lines = this.lines.child({ host });
+        this.logger = this.logger.child({ host });
     }
 
-    /** Lines that were left out since the start, for a slow reader or too many of a kind. */
+    /** Number of lines dropped since the start, because of a slow reader or the rate limit. */
     public get dropped(): number {
         return this.droppedLines;
     }
 
     public info(event: string, values: EventValues = {}): void {
-        if (this.admits(event, infoPerSecond)) {
-            this.lines.info({ event, steadyMs: Math.round(steadyNow()), ...values });
+        if (this.tryAcquire(event, maxInfoLinesPerSecond)) {
+            this.logger.info({ event, steadyMs: Math.round(steadyNow()), ...values });
         }
     }
 
     public warn(event: string, values: EventValues = {}): void {
-        if (this.admits(event, warnPerSecond)) {
-            this.lines.warn({ event, steadyMs: Math.round(steadyNow()), ...values });
+        if (this.tryAcquire(event, maxWarnLinesPerSecond)) {
+            this.logger.warn({ event, steadyMs: Math.round(steadyNow()), ...values });
         }
     }
 
-    /** Writes what is gathered, before the process ends. */
+    /** Writes the buffered lines before the process exits. */
     public end(): void {
         clearInterval(this.timer);
         try {
             this.output.flushSync();
         }
         catch {
-            // The reader is gone or full; the process ends all the same.
+            // Standard output is closed or blocked; the process exits regardless.
         }
     }
 
-    private admits(event: string, perSecond: number): boolean {
+    private tryAcquire(event: string, perSecond: number): boolean {
         if (steadyNow() - this.windowStart >= 1000) {
             this.startWindow();
         }
-        let allowance = this.kinds.get(event);
-        if (allowance === undefined) {
-            allowance = { lines: 0, left: 0 };
-            this.kinds.set(event, allowance);
+        let count = this.lineCounts.get(event);
+        if (count === undefined) {
+            count = { written: 0, suppressed: 0 };
+            this.lineCounts.set(event, count);
         }
-        if (allowance.lines >= perSecond) {
-            allowance.left += 1;
+        if (count.written >= perSecond) {
+            count.suppressed += 1;
             this.droppedLines += 1;
             return false;
         }
-        allowance.lines += 1;
+        count.written += 1;
         return true;
     }
 
     private startWindow(): void {
-        const left = [...this.kinds].filter(([, allowance]) => allowance.left > 0);
-        this.kinds.clear();
+        const suppressed = [...this.lineCounts].filter(([, count]) => count.suppressed > 0);
+        this.lineCounts.clear();
         this.windowStart = steadyNow();
-        for (const [kind, allowance] of left) {
-            this.lines.warn({ event: "log.left-out", kind, lines: allowance.left });
+        for (const [kind, count] of suppressed) {
+            this.logger.warn({ event: "log.left-out", kind, lines: count.suppressed });
         }
     }
 
--- a/packages/core/src/histograms.ts
+++ b/packages/core/src/histograms.ts
@@ -1,12 +1,12 @@
-/** Counters and latency histograms of one process, with the Prometheus text form. */
+/** Counters and latency histograms in the Prometheus text format. */
 import { build, type Histogram as HdrHistogram } from "hdr-histogram-js";
 
-/** Values are recorded in microseconds so that a tenth of a millisecond still shows. */
+/** Histograms hold integers, so durations are recorded in microseconds for sub-millisecond resolution. */
 const microsecondsPerMillisecond = 1000;
 const highestMicroseconds = 3_600_000_000;
 const quantiles = [0.5, 0.95, 0.99];
 
-/** Durations in milliseconds. */
+/** A histogram of durations in milliseconds. */
 export class Histogram {
     private readonly inner: HdrHistogram = build({
         highestTrackableValue: highestMicroseconds,
@@ -16,13 +16,12 @@
     });
     private sum = 0;
 
-    /** Records one duration in milliseconds. */
     public record(ms: number): void {
         this.sum += ms;
         this.inner.recordValue(Math.max(0, Math.round(ms * microsecondsPerMillisecond)));
     }
 
-    /** The duration in milliseconds that `quantile` (0 to 1) of the recorded ones do not exceed. */
+    /** Returns a quantile (0 to 1) in milliseconds. */
     public quantile(quantile: number): number {
         return this.inner.getValueAtPercentile(quantile * 100) / microsecondsPerMillisecond;
     }
@@ -36,18 +35,18 @@
     }
 }
 
-/** The metrics of one process, by name and labels. */
+/** Registry of a process's metrics, by name and labels. */
 export class Metrics {
     private readonly counters = new Map<string, number>();
     private readonly histograms = new Map<string, Histogram>();
 
-    /** Adds to a counter, `requests_total{outcome="ran"}` for one. */
+    /** Increments a counter such as `requests_total{outcome="ran"}`. */
     public count(name: string, labels: Readonly<Record<string, string>> = {}, by = 1): void {
         const key = keyOf(name, labels);
         this.counters.set(key, (this.counters.get(key) ?? 0) + by);
     }
 
-    /** The histogram of that name and labels, made at its first use. */
+    /** Returns the histogram of a name and labels, creating it on first use. */
     public histogram(name: string, labels: Readonly<Record<string, string>> = {}): Histogram {
         const key = keyOf(name, labels);
         let histogram = this.histograms.get(key);
@@ -58,7 +57,7 @@
         return histogram;
     }
 
-    /** All metrics in the Prometheus text form; durations in seconds. */
+    /** All metrics in the Prometheus text format, with durations in seconds. */
     public toText(): string {
         const lines: string[] = [];
         for (const [key, value] of [...this.counters].sort()) {
--- a/packages/core/src/listening.ts
+++ b/packages/core/src/listening.ts
@@ -1,7 +1,7 @@
-/** How listeners take connections. */
+/** Options for listening sockets. */
 
 /**
- * Connections that wait to be taken. A fleet's callers come at once after a loss; one whose opening
- * packet finds the queue full tries again only after a second, then three, then seven.
+ * Length of the accept queue. It must hold a burst of reconnecting callers: a SYN that finds the queue full is
+ * retransmitted only after a second, then with increasing delays.
  */
 export const listenBacklog = 4096;
--- a/packages/core/src/logs.ts
+++ b/packages/core/src/logs.ts
@@ -1,15 +1,14 @@
-/** Logs by namespace (`DEBUG=winchpath:*`), one line each, with structured fields. */
+/** Debug logs with structured fields, enabled by namespace (`DEBUG=winchpath:*`). */
 import debug from "debug";
 
-/** Values that may stand in a log line. Secrets are never passed. */
+/** Fields of a log line. Must not contain secrets. */
 export type LogFields = Readonly<Record<string, string | number | boolean | undefined>>;
 
-/** Writes one line of a slice's log. */
 export type Logger = (message: string, fields?: LogFields) => void;
 
-/** The logger of one slice, `winchpath:SLICE`. */
-export function logger(slice: string): Logger {
-    const write = debug(`winchpath:${slice}`);
+/** Creates the logger of a component, with the namespace `winchpath:COMPONENT`. */
+export function logger(component: string): Logger {
+    const write = debug(`winchpath:${component}`);
     return (message, fields = {}) => {
         if (!write.enabled) {
             return;
--- a/packages/core/src/ratevalues.ts
+++ b/packages/core/src/ratevalues.ts
@@ -1,15 +1,14 @@
-/** The header by which an answer names the rate of requests that its sender takes. */
+/** Parses the response header that states an upstream's rate limit. */
 
 /** A decimal number without sign or exponent. */
 const decimal = /^\d{1,12}(\.\d{1,12})?$/;
-/** More than any upstream takes, in requests a second. */
-const mostPerSecond = 1_000_000;
+/** Upper bound on parsed rates, in requests per second. */
+const maxRatePerSecond = 1_000_000;
 
 /**
- * Requests a second, by the values of such a header; undefined where there is none that can be read. Of several the
- * lowest holds.
+ * Returns the lowest valid rate among the header's values, in requests per second, or undefined if there is none.
  */
 export function ratePerSecond(values: Iterable<string>): number | undefined {
     const rates = [...values].map(value => value.trim()).filter(text => decimal.test(text)).map(Number);
-    return rates.length === 0 ? undefined : Math.min(mostPerSecond, ...rates);
+    return rates.length === 0 ? undefined : Math.min(maxRatePerSecond, ...rates);
 }
--- a/packages/core/src/results.ts
+++ b/packages/core/src/results.ts
@@ -1,10 +1,10 @@
 /**
- * `Result`, `Ok` and `Err` of ts-results, re-exported in one place: that library
- * is CommonJS, and its named exports are not visible to ES modules.
+ * Re-exports `Result`, `Ok` and `Err` of ts-results, whose named exports are not
+ * visible to ES modules because it is a CommonJS library.
  */
 import results, { type Result as TsResult } from "ts-results";
 
-/** A value, or the typed reason why there is none. */
+/** Either a value or a typed error. */
 export type Result<T, E> = TsResult<T, E>;
 
 export const { Ok, Err } = results;
--- a/packages/core/src/retryafters.ts
+++ b/packages/core/src/retryafters.ts
@@ -1,27 +1,28 @@
-/** The header by which an answer says when to come back. */
+/** Parses the Retry-After header. */
 
 /** Whole or fractional seconds. */
 const seconds = /^\d{1,12}(\.\d{1,6})?$/;
-/** A date as HTTP writes it; the runtime would read much else as a date, "-1" among it. */
+/** An HTTP date. `Date.parse` alone would accept other values as well, such as "-1". */
 const httpDate = /^[A-Z][a-z]{2}, \d{2} [A-Z][a-z]{2} \d{4} \d{2}:\d{2}:\d{2} GMT$/;
 
 /**
- * Milliseconds after which to come back, by the value of a Retry-After header; undefined where there is none, where
- * it can't be read, and where it says at once. `date`: value of the answer's own Date header, which a date is
- * measured from; this host's time of day where there is none.
+ * Returns the delay of a Retry-After header in milliseconds, or undefined if it is missing, invalid or not positive.
+ * A date is measured from `date`, the response's Date header, or from this host's time if that is missing or invalid.
  */
 export function retryAfterMs(value: string | undefined, date?: string): number | undefined {
     const text = value?.trim() ?? "";
-    const ms = seconds.test(text) ? Number(text) * 1000 : dateOf(text) - dateOr(date?.trim() ?? "", Date.now());
+    const ms = seconds.test(text)
+        ? Number(text) * 1000
+        : parseHttpDate(text) - parseHttpDateOr(date?.trim() ?? "", Date.now());
     return ms > 0 ? ms : undefined;
 }
 
-/** NaN where a text is no date. */
-function dateOf(text: string): number {
+/** Returns NaN for anything but an HTTP date. */
+function parseHttpDate(text: string): number {
     return httpDate.test(text) ? Date.parse(text) : Number.NaN;
 }
 
-function dateOr(text: string, otherwise: number): number {
-    const parsed = dateOf(text);
-    return Number.isNaN(parsed) ? otherwise : parsed;
+function parseHttpDateOr(text: string, fallback: number): number {
+    const parsed = parseHttpDate(text);
+    return Number.isNaN(parsed) ? fallback : parsed;
 }
--- a/packages/core/src/tasks.ts
+++ b/packages/core/src/tasks.ts
@@ -1,8 +1,8 @@
-/** Small tools for tasks that wait: for time, for an event, for one another. */
+/** Primitives for asynchronous tasks. */
 import { steadyNow } from "./clocks.js";
 import { Failure, FailureCode } from "./errors.js";
 
-/** A promise that is settled from outside. */
+/** A promise that can be resolved or rejected from outside. */
 export class Deferred<T> {
     public readonly promise: Promise<T>;
     public resolve!: (value: T) => void;
@@ -17,14 +17,14 @@
 }
 
 /**
- * Wakes every task that waits on it. A notification with no waiter is kept
- * for the next one, so that none falls between two waits of a single task.
+ * Wakes every task that waits on it. A notification without waiters is kept for
+ * the next wait, so that a task cannot miss one between two waits.
  */
 export class Notifier {
     private waiters = new Set<() => void>();
     private pending = false;
 
-    /** Wakes the waiters, or lets the next wait return at once. */
+    /** Wakes all waiters; if there are none, the next wait returns at once. */
     public notify(): void {
         if (this.waiters.size === 0) {
             this.pending = true;
@@ -35,7 +35,7 @@
         waiters.forEach(wake => wake());
     }
 
-    /** Returns after a notification, or after `timeoutMs`. */
+    /** Resolves after a notification or after `timeoutMs`. */
     public async wait(timeoutMs: number): Promise<void> {
         if (this.pending) {
             this.pending = false;
@@ -51,7 +51,7 @@
     }
 }
 
-/** Waits; returns early, without an error, when the signal is aborted. */
+/** Resolves after `ms`, or earlier, without an error, when the signal is aborted. */
 export async function sleep(ms: number, signal?: AbortSignal): Promise<void> {
     if (signal?.aborted) {
         return;
@@ -65,25 +65,28 @@
     signal?.removeEventListener("abort", wake);
 }
 
-/** Settles as the promise does, or fails with `timeout` after `ms`. */
-export async function withTimeout<T>(promise: Promise<T>, ms: number, what: string): Promise<T> {
-    const late = new Deferred<T>();
-    const timer = setTimeout(() => late.reject(Failure.of(FailureCode.timeout, `${what} took over ${ms} ms`)), ms);
+/** Settles like the promise, or fails with code `timeout` after `ms`. */
+export async function withTimeout<T>(promise: Promise<T>, ms: number, operation: string): Promise<T> {
+    const timeout = new Deferred<T>();
+    const timer = setTimeout(
+        () => timeout.reject(Failure.of(FailureCode.timeout, `${operation} timed out after ${ms} ms`)),
+        ms,
+    );
     try {
-        return await Promise.race([promise, late.promise]);
+        return await Promise.race([promise, timeout.promise]);
     }
     finally {
         clearTimeout(timer);
     }
 }
 
-/** Waits until `condition` holds, looking again at every `event`; fails after `ms`. */
-export async function until(condition: () => boolean, event: Notifier, ms: number, what: string): Promise<void> {
+/** Resolves once `condition` holds, checking it after every `event`; fails with code `timeout` after `ms`. */
+export async function until(condition: () => boolean, event: Notifier, ms: number, operation: string): Promise<void> {
     const deadline = steadyNow() + ms;
     while (!condition()) {
         const left = deadline - steadyNow();
         if (left <= 0) {
-            throw Failure.of(FailureCode.timeout, `${what} took over ${ms} ms`);
+            throw Failure.of(FailureCode.timeout, `${operation} timed out after ${ms} ms`);
         }
         await event.wait(left);
     }
--- a/packages/core/src/tests/clocks.test.ts
+++ b/packages/core/src/tests/clocks.test.ts
@@ -3,7 +3,7 @@
 import { steadyNow } from "../index.js";
 
 describe("steadyNow", () => {
-    it("goes on when the time of day is set back", () => {
+    it("is unaffected by the system time", () => {
         const before = steadyNow();
         const timeOfDay = performance.timeOrigin + performance.now();
         const after = steadyNow();
@@ -11,11 +11,11 @@
         expect(Math.abs(after - timeOfDay)).toBeGreaterThan(60_000);
     });
 
-    it("gives whole milliseconds, as timeouts of RPCs have to be", () => {
+    it("returns integers, as RPC timeouts require", () => {
         expect(Number.isInteger(steadyNow())).toEqual(true);
     });
 
-    it("follows the clock that a test has paused", t => {
+    it("follows a mocked Date", t => {
         t.mock.timers.enable({ apis: ["Date"], now: 5000 });
         const before = steadyNow();
         t.mock.timers.tick(250);
--- a/packages/declarations/src/accounts.ts
+++ b/packages/declarations/src/accounts.ts
@@ -1,58 +1,58 @@
-/** Client accounts of a configuration: whose keys are taken, and how much each may ask for. */
+/** Client accounts of a configuration, with their API keys and rate limits. */
 import { FailureCode, type Issue } from "@winchpath/core";
 import { createHash } from "node:crypto";
 import Type, { type Static } from "typebox";
 
-/** What a limit counts. Tokens are those of the prompt and the most that may be generated. */
+/** What a limit counts. A request's tokens are those of its prompt plus the maximum number to generate. */
 export const LimitUnit = Type.Enum(["requests", "tokens"]);
 export type LimitUnit = Static<typeof LimitUnit>;
 
-/** How much an account may ask for, over all entries. */
+/** Rate limit of an account, shared by all entries. */
 export const AccountLimit = Type.Object({
     unit: LimitUnit,
-    /** Units a second. */
+    /** Units per second. */
     perSecond: Type.Number({ exclusiveMinimum: 0 }),
-    /** Units that may come at once beyond that. */
+    /** Units that may be used at once on top of the rate. */
     burst: Type.Number({ minimum: 0 }),
-    /** Tokens that a request counts which names none. */
+    /** Tokens counted for a request that states no number of tokens. */
     plainTokens: Type.Number({ minimum: 0 }),
 });
 export type AccountLimit = Static<typeof AccountLimit>;
 
 export const ClientAccount = Type.Object({
-    /** Sent to upstreams as a header's value, so printable and without spaces. */
+    /** Sent to upstreams as a header value, hence printable ASCII without spaces. */
     name: Type.String({ pattern: "^[\\x21-\\x7e]+$", maxLength: 256 }),
-    /** Of the keys only digests are kept, see {@link keyDigest}. */
+    /** Digests of the account's keys, see {@link keyDigest}. */
     keyDigests: Type.Array(Type.String({ minLength: 1 })),
-    /** Goes before a route's; 0 is the most urgent. */
+    /** Overrides the route's priority; 0 is the most urgent. */
     priority: Type.Optional(Type.Integer({ minimum: 0 })),
     limit: Type.Optional(AccountLimit),
 });
 export type ClientAccount = Static<typeof ClientAccount>;
 
-/** What a key is looked up by, so that no key stands in memory, logs or views. */
+/** Digest by which a key is looked up, so that the key itself is never stored, logged or displayed. */
 export function keyDigest(key: string): string {
     return createHash("sha256").update(key).digest("base64");
 }
 
-/** What is wrong with accounts that match their schema; no issue shows a key. */
+/** Checks rules that the schema cannot express. No issue contains a key. */
 export function checkAccounts(accounts: readonly ClientAccount[]): Issue[] {
     const issues: Issue[] = [];
     const names = new Set<string>();
-    const holders = new Map<string, string>();
+    const owners = new Map<string, string>();
     accounts.forEach(({ name, keyDigests }, index) => {
         const report = (key: string, message: string) =>
             issues.push({ code: FailureCode.invalid, path: ["accounts", index, key], message });
         if (names.has(name)) {
-            report("name", `two accounts are named ${name}`);
+            report("name", `duplicate account name ${name}`);
         }
         names.add(name);
         for (const digest of new Set(keyDigests)) {
-            const holder = holders.get(digest);
+            const holder = owners.get(digest);
             if (holder !== undefined) {
                 report("keys", `accounts ${holder} and ${name} share a key`);
             }
-            holders.set(digest, name);
+            owners.set(digest, name);
         }
     });
     return issues;
--- a/packages/declarations/src/catalogues.ts
+++ b/packages/declarations/src/catalogues.ts
@@ -1,14 +1,14 @@
-/** The declarations in the form that decisions work with: sizes in bytes, adapters beside their models. */
+/** A decoded view of the declarations, with sizes in bytes and adapters grouped by model. */
 import { safeDecode } from "@winchpath/core";
 import { type Declarations } from "./machines.js";
 import { AdapterSpec, ModelSpec, type Resource } from "./schemas.js";
 
-/** Something that an engine holds: a model or an adapter at one version. */
+/** A model or adapter at a specific version, as loaded by an engine. */
 export interface Item {
     /** "name@version" */
     readonly id: string;
     readonly name: string;
-    /** Weights and reserved cache. */
+    /** Accelerator memory: weights plus, for a model, the reserved cache. */
     readonly bytes: number;
 }
 
@@ -17,25 +17,25 @@
     readonly priority: number;
     readonly minReplicas: number;
     readonly maxReplicas: number;
-    /** Data centres that may hold it; all where undefined. */
+    /** Data centres in which it may be placed; undefined for all. */
     readonly dataCentres: readonly string[] | undefined;
     readonly adapters: readonly Item[];
     /** Version of the resource. */
     readonly revision: number;
 }
 
-/** What a caller can name. */
+/** A model or adapter that callers can request by name. */
 export interface Target {
     /** The declared name. */
     readonly name: string;
     readonly model: Model;
-    /** The adapter, where the name is an adapter's. */
+    /** The requested adapter; undefined if the name is a model's. */
     readonly adapter: Item | undefined;
-    /** Version of the resource that was named. */
+    /** Version of the requested resource. */
     readonly revision: number;
 }
 
-/** An immutable view of one revision. */
+/** An immutable view of the declarations at one revision. */
 export class Catalogue {
     public readonly models: readonly Model[];
     public readonly services: ReadonlyMap<string, number>;
@@ -45,7 +45,7 @@
     public constructor(public readonly revision: number, resources: readonly Resource[]) {
         const adapters = resources.filter(resource => resource.kind === "Adapter");
         this.models = resources.filter(resource => resource.kind === "Model").map(resource =>
-            modelOf(resource, adapters)
+            toModel(resource, adapters)
         );
         this.services = new Map(
             resources.filter(resource => resource.kind === "Service").map(({ name, version }) => [name, version]),
@@ -60,18 +60,18 @@
         }
     }
 
-    /** What a caller's model name stands for. */
+    /** Resolves a model or adapter name. */
     public target(name: string): Target | undefined {
         return this.targets.get(name);
     }
 
-    /** All names that callers can use, sorted. */
+    /** All names that callers can request, sorted. */
     public targetNames(): string[] {
         return [...this.targets.keys()].sort();
     }
 }
 
-/** Makes the catalogue anew only after the declarations have changed. */
+/** Caches the catalogue until the declarations change. */
 export class CatalogueCache {
     private cached: Catalogue = new Catalogue(0, []);
 
@@ -85,12 +85,12 @@
     }
 }
 
-/** Memory of a model with all its adapters. */
+/** Accelerator memory of a model and all its adapters. */
 export function unitBytes(model: Model): number {
     return model.adapters.reduce((sum, adapter) => sum + adapter.bytes, model.bytes);
 }
 
-function modelOf(resource: Resource, adapters: readonly Resource[]): Model {
+function toModel(resource: Resource, adapters: readonly Resource[]): Model {
     const spec = safeDecode(ModelSpec, resource.spec).unwrap();
     return {
         id: `${resource.name}@${spec.version}`,
@@ -101,12 +101,12 @@
         minReplicas: spec.minReplicas,
         maxReplicas: Math.max(spec.minReplicas, spec.maxReplicas),
         dataCentres: spec.dataCentres,
-        adapters: adapters.map(itemOf).filter(item => item.model === resource.name),
+        adapters: adapters.map(toAdapterItem).filter(item => item.model === resource.name),
         revision: resource.version,
     };
 }
 
-function itemOf(resource: Resource): Item & { readonly model: string; } {
+function toAdapterItem(resource: Resource): Item & { readonly model: string; } {
     const spec = safeDecode(AdapterSpec, resource.spec).unwrap();
     return { id: `${resource.name}@${spec.version}`, name: resource.name, bytes: spec.memory, model: spec.model };
 }
--- a/packages/declarations/src/configurations.ts
+++ b/packages/declarations/src/configurations.ts
@@ -1,60 +1,60 @@
 /**
- * A whole configuration of routes and services that is replaced at once, under
- * a version that its author chooses. Times in milliseconds, sizes of weights in
- * megabytes (10^6 bytes).
+ * A complete configuration of routes and services, which is replaced as a whole
+ * under a version chosen by its author. Durations are in milliseconds, sizes of
+ * weights in megabytes (10^6 bytes).
  */
 import { FailureCode, type Issue } from "@winchpath/core";
 import Type, { type Static } from "typebox";
 import { checkAccounts, ClientAccount } from "./accounts.js";
 
-/** What may be done again with a request that may have run. */
+/** Whether and how a request that may already have run can be retried. */
 export const RouteKind = Type.Enum(["safe", "unsafe", "streaming"]);
 export type RouteKind = Static<typeof RouteKind>;
 
-/** A service that takes a share of a route's requests. */
+/** A service that receives a share of a route's requests. */
 export const RouteTarget = Type.Object({
     service: Type.String({ minLength: 1 }),
     weight: Type.Number({ minimum: 0 }),
 });
 export type RouteTarget = Static<typeof RouteTarget>;
 
-/** Which requests go where, and what they are promised. */
+/** Matches requests and defines their targets, timeouts and objectives. */
 export const Route = Type.Object({
     name: Type.String({ minLength: 1 }),
     /** Value of the Host header, without a port. */
     host: Type.String({ minLength: 1 }),
-    /** Beginning of the path; starts and ends with a slash. */
+    /** Path prefix; starts and ends with a slash. */
     prefix: Type.String({ pattern: "^/(.*/)?$" }),
     kind: RouteKind,
-    /** Longest time that a caller is kept waiting. */
+    /** Longest time that the caller is kept waiting. */
     timeoutMs: Type.Number({ exclusiveMinimum: 0 }),
-    /** Time within which an answer, or a stream's first event, is on time. */
+    /** Latency objective for a response, or for a stream's first event. */
     objectiveMs: Type.Number({ minimum: 0 }),
-    /** Longest pause between two events of a stream that is still on time; 0 where none is set. */
+    /** Objective for the pause between two events of a stream; 0 for none. */
     pauseMs: Type.Number({ minimum: 0 }),
     /** 0 is the most urgent. */
     priority: Type.Integer({ minimum: 0 }),
-    /** Upstreams that one request may be sent to, at most. */
+    /** Maximum number of upstreams that a request is sent to. */
     maxAttempts: Type.Integer({ minimum: 1 }),
-    /** Requests with the same prompt beginning do best on the same upstream. */
+    /** Whether requests with the same prompt prefix should go to the same upstream. */
     sticky: Type.Boolean(),
-    /** A stream may go on at another upstream behind the last event. */
+    /** Whether an interrupted stream may be resumed at another upstream after the last event. */
     resumable: Type.Boolean(),
-    /** Whether requests need no key, where accounts are set. */
+    /** Whether requests need no key even if accounts are configured. */
     isPublic: Type.Optional(Type.Boolean()),
     targets: Type.Array(RouteTarget, { minItems: 1 }),
 });
 export type Route = Static<typeof Route>;
 
-/** A model that a service's engines can hold. */
+/** A model that a service's engines can load. */
 export const EngineModel = Type.Object({
     name: Type.String({ minLength: 1 }),
     sizeMb: Type.Number({ minimum: 0 }),
-    /** Time to load it from the weight store. */
+    /** Loading time from the weight store. */
     loadMs: Type.Number({ minimum: 0 }),
-    /** Time to load it from a copy in the host's memory. */
+    /** Loading time from a copy in the host's memory. */
     memoryLoadMs: Type.Number({ minimum: 0 }),
-    /** Time to load it from a copy on the host's disk. */
+    /** Loading time from a copy on the host's disk. */
     diskLoadMs: Type.Number({ minimum: 0 }),
     /** Number of its adapters. */
     adapters: Type.Integer({ minimum: 0 }),
@@ -62,16 +62,16 @@
 });
 export type EngineModel = Static<typeof EngineModel>;
 
-/** What one engine of a service can hold and run. */
+/** Capacity of each engine of a service. */
 export const EngineSpec = Type.Object({
-    /** Requests that run at once. */
+    /** Maximum number of concurrent requests. */
     slots: Type.Integer({ minimum: 1 }),
-    /** Tokens that its key-value cache holds. */
+    /** Capacity of the key-value cache in tokens. */
     cacheTokens: Type.Integer({ minimum: 0 }),
     /** Memory for weights and adapters. */
     memoryMb: Type.Number({ minimum: 0 }),
     adapterPlaces: Type.Integer({ minimum: 0 }),
-    /** Loads from the weight store that may start in a second, over all engines. */
+    /** Loads from the weight store that may start per second, across all engines. */
     storeLoadsPerSecond: Type.Number({ minimum: 0 }),
     models: Type.Array(EngineModel),
 });
@@ -79,13 +79,13 @@
 
 export const UpstreamService = Type.Object({
     name: Type.String({ minLength: 1 }),
-    /** Connections that one of its upstreams accepts from all callers together. */
+    /** Connections that each of its upstreams accepts in total. */
     maxConnections: Type.Integer({ minimum: 1 }),
     engine: Type.Optional(EngineSpec),
 });
 export type UpstreamService = Static<typeof UpstreamService>;
 
-/** What a caller may send, and how long it may take. */
+/** Size limits and timeouts for requests of callers. */
 export const ListenerLimits = Type.Object({
     headerBytes: Type.Integer({ minimum: 1 }),
     bodyBytes: Type.Integer({ minimum: 0 }),
@@ -99,24 +99,24 @@
     routes: Type.Array(Route),
     services: Type.Array(UpstreamService),
     limits: ListenerLimits,
-    /** Whose keys are taken; without this, requests need none. */
+    /** Accounts whose keys are accepted; if absent, requests need no key. */
     accounts: Type.Optional(Type.Array(ClientAccount)),
 });
 export type Configuration = Static<typeof Configuration>;
 
-/** What is wrong with a configuration that matches its schema; empty where nothing is. */
+/** Checks rules that the schema cannot express; returns no issues if the configuration is valid. */
 export function checkConfiguration(configuration: Configuration): Issue[] {
     const services = new Set(configuration.services.map(service => service.name));
-    const places = new Set<string>();
+    const routeKeys = new Set<string>();
     const issues: Issue[] = [];
     const report = (index: number, key: string, message: string) =>
         issues.push({ code: FailureCode.invalid, path: ["routes", index, key], message });
     configuration.routes.forEach((route, index) => {
-        const place = `${route.host} ${route.prefix}`;
-        if (places.has(place)) {
-            report(index, "prefix", `another route has the same host and prefix: ${place}`);
+        const routeKey = `${route.host} ${route.prefix}`;
+        if (routeKeys.has(routeKey)) {
+            report(index, "prefix", `another route has the same host and prefix: ${routeKey}`);
         }
-        places.add(place);
+        routeKeys.add(routeKey);
         route.targets.filter(target => !services.has(target.service)).forEach(target =>
             report(index, "targets", `unknown service ${target.service}`)
         );
@@ -126,7 +126,7 @@
     });
     const names = configuration.services.map(service => service.name);
     names.filter((name, index) => names.indexOf(name) !== index).forEach(name =>
-        issues.push({ code: FailureCode.invalid, path: ["services"], message: `two services are named ${name}` })
+        issues.push({ code: FailureCode.invalid, path: ["services"], message: `duplicate service name ${name}` })
     );
     issues.push(...checkAccounts(configuration.accounts ?? []));
     return issues;
--- a/packages/declarations/src/documents.ts
+++ b/packages/declarations/src/documents.ts
@@ -1,49 +1,52 @@
-/** The replicated value behind a configuration that comes as one document: the highest version wins. */
+/** Replicated state of the configuration document. The highest version wins. */
 import { Notifier } from "@winchpath/core";
 
-/** A configuration as its author wrote it. */
+/** A configuration document with its version. */
 export interface ConfigurationDocument {
     readonly version: number;
-    /** What was sent, to the letter: a read gives it back unchanged. */
+    /** The text exactly as submitted; reads return it unchanged. */
     readonly text: string;
 }
 
-/** What became of a document that was proposed. */
+/** Result of proposing a document. */
 export interface DocumentResult {
-    /** Version in force after it. */
+    /** Version in force after the proposal. */
     readonly version: number;
-    /** Whether the document took effect; false where the version held was as high. */
+    /** Whether the document took effect; false if the current version is at least as high. */
     readonly replaced: boolean;
 }
 
-/** A slice of the replicated state. Its command is a {@link ConfigurationDocument}, checked before it was proposed; its result a {@link DocumentResult}. */
+/**
+ * A slice of the replicated state. Commands are {@link ConfigurationDocument}s, validated before they are proposed;
+ * results are {@link DocumentResult}s.
+ */
 export class Documents {
     public readonly slice = "documents";
-    /** Notified when another document is in force. */
+    /** Notified when the document has been replaced. */
     public readonly changed = new Notifier();
-    private held: ConfigurationDocument | undefined;
+    private document: ConfigurationDocument | undefined;
 
     public get current(): ConfigurationDocument | undefined {
-        return this.held;
+        return this.document;
     }
 
     public apply(command: unknown): DocumentResult {
         const document = command as ConfigurationDocument;
-        const replaced = this.held === undefined || document.version > this.held.version;
+        const replaced = this.document === undefined || document.version > this.document.version;
         if (replaced) {
-            this.held = { version: document.version, text: document.text };
+            this.document = { version: document.version, text: document.text };
             this.changed.notify();
         }
-        return { version: this.held!.version, replaced };
+        return { version: this.document!.version, replaced };
     }
 
     public snapshot(): unknown {
-        return this.held ?? {};
+        return this.document ?? {};
     }
 
     public restore(state: unknown): void {
         const document = state as Partial<ConfigurationDocument>;
-        this.held = document.text === undefined ? undefined : document as ConfigurationDocument;
+        this.document = document.text === undefined ? undefined : document as ConfigurationDocument;
         this.changed.notify();
     }
 }
--- a/packages/declarations/src/manifests.ts
+++ b/packages/declarations/src/manifests.ts
@@ -1,4 +1,4 @@
-/** Declarations in files: TOML or JSON, one file or a folder of them. */
+/** Reads declarations from a TOML or JSON file, or from a folder of such files. */
 import { Err, Failure, FailureCode, type Issue, messageOf, Ok, type Result, safeParse } from "@winchpath/core";
 import { Name } from "@winchpath/core";
 import { readdirSync, readFileSync, statSync } from "node:fs";
@@ -7,23 +7,23 @@
 import Type from "typebox";
 import { type Kind, kinds, specSchemas } from "./schemas.js";
 
-/** One declaration that a file asks for. */
+/** A declaration read from a file. */
 export interface Manifest {
     readonly kind: Kind;
     readonly name: string;
     readonly spec: Readonly<Record<string, unknown>>;
 }
 
-const Document = Type.Object(
+const ManifestFile = Type.Object(
     Object.fromEntries(kinds.map(kind => [kind.toLowerCase(), Type.Optional(Type.Array(Type.Object({ name: Name })))])),
     { additionalProperties: false },
 );
 
-/** Reads a file, or all .toml and .json files of a folder in the order of their names. */
+/** Reads a file, or all .toml and .json files of a folder, sorted by name. */
 export function loadManifests(path: string): Result<Manifest[], Failure> {
     let files: string[];
     try {
-        files = statSync(path).isDirectory() ? filesOf(path) : [path];
+        files = statSync(path).isDirectory() ? listManifestFiles(path) : [path];
     }
     catch (err) {
         return Err(Failure.of(FailureCode.notFound, messageOf(err), [path]));
@@ -39,11 +39,11 @@
             manifests.push(...result.val);
         }
     }
-    issues.push(...repeatedNames(manifests, path));
+    issues.push(...findDuplicates(manifests, path));
     return issues.length === 0 ? Ok(manifests) : Err(new Failure(issues));
 }
 
-/** Checks the text of one file. */
+/** Parses and validates the text of one file. */
 export function parseManifests(text: string, format: "toml" | "json"): Result<Manifest[], Failure> {
     let raw: unknown;
     try {
@@ -52,7 +52,7 @@
     catch (err) {
         return Err(Failure.of(FailureCode.invalid, messageOf(err)));
     }
-    const shape = safeParse(Document, raw);
+    const shape = safeParse(ManifestFile, raw);
     if (shape.err) {
         return shape;
     }
@@ -73,22 +73,22 @@
     return issues.length === 0 ? Ok(manifests) : Err(new Failure(issues));
 }
 
-/** Checks a spec by itself, as the operators' interface does before it proposes. */
+/** Validates a spec against the schema of its kind. */
 export function checkSpec(kind: Kind, spec: unknown): Result<unknown, Failure> {
     return safeParse(specSchemas[kind], spec);
 }
 
-function filesOf(folder: string): string[] {
+function listManifestFiles(folder: string): string[] {
     const names = readdirSync(folder).filter(name => /\.(toml|json)$/.test(name));
     return names.sort().map(name => join(folder, name));
 }
 
-function repeatedNames(manifests: readonly Manifest[], path: string): Issue[] {
+function findDuplicates(manifests: readonly Manifest[], path: string): Issue[] {
     const seen = new Set<string>();
     return manifests.flatMap(({ kind, name }) => {
         const key = `${kind} ${name}`;
         const repeated = seen.has(key);
         seen.add(key);
-        return repeated ? [{ code: FailureCode.invalid, path: [path], message: `${key} stands twice` }] : [];
+        return repeated ? [{ code: FailureCode.invalid, path: [path], message: `${key} is declared twice` }] : [];
     });
 }
--- a/packages/declarations/src/schemas.ts
+++ b/packages/declarations/src/schemas.ts
@@ -1,45 +1,45 @@
-/** What operators declare. Sizes stand in their written form until a catalogue decodes them. */
+/** Schemas of the declared resources and of changes to them. Sizes are strings, decoded by the catalogue. */
 import { Name, Size, sizeWith } from "@winchpath/core";
 import Type, { type Static } from "typebox";
 
 const strict = { additionalProperties: false };
 const lowestPriority = 0;
 const highestPriority = 9;
-const standardPriority = 5;
+const defaultPriority = 5;
 
 const Version = Type.String({ pattern: "^[A-Za-z0-9._-]{1,40}$" });
-const Priority = Type.Integer({ minimum: lowestPriority, maximum: highestPriority, default: standardPriority });
+const Priority = Type.Integer({ minimum: lowestPriority, maximum: highestPriority, default: defaultPriority });
 
-/** A model that is to be resident and reachable at all times. */
+/** A model that must be loaded and reachable at all times. */
 export const ModelSpec = Type.Object({
     version: Version,
-    /** Memory of the weights on an accelerator. */
+    /** Accelerator memory for the weights. */
     memory: Size,
-    /** Memory reserved beside the weights for the cache of prompts. */
+    /** Accelerator memory reserved for the prompt cache. */
     cache: sizeWith({ default: "0 B" }),
-    /** 9 goes first. */
+    /** 9 is the most urgent. */
     priority: Priority,
-    /** Replicas that are kept whatever the demand. */
+    /** Replicas that are kept regardless of demand. */
     minReplicas: Type.Integer({ minimum: 1, default: 1 }),
-    /** Replicas that demand may bring at most. */
+    /** Upper limit for scaling by demand. */
     maxReplicas: Type.Integer({ minimum: 1, default: 8 }),
-    /** Data centres that may hold it; all where absent. */
+    /** Data centres in which it may be placed; all if absent. */
     dataCentres: Type.Optional(Type.Array(Name, { minItems: 1 })),
 }, strict);
 
-/** An adapter of a model; resident wherever its model is. */
+/** An adapter of a model, loaded wherever its model is loaded. */
 export const AdapterSpec = Type.Object({
     model: Name,
     version: Version,
     memory: Size,
 }, strict);
 
-/** A plain service; upstreams announce that they serve it. */
+/** A plain service. Upstreams announce which service they provide. */
 export const ServiceSpec = Type.Object({
     priority: Priority,
 }, strict);
 
-/** An upstream that is to hold and take nothing any more. Its name is the upstream's. */
+/** Drains the upstream of the same name: it is to unload its models and receive no more requests. */
 export const DrainSpec = Type.Object({
     reason: Type.String({ default: "", maxLength: 200 }),
 }, strict);
@@ -57,13 +57,13 @@
 
 export const kinds = Object.keys(specSchemas) as Kind[];
 
-/** A declaration as it is kept. */
+/** A declared resource. */
 export const Resource = Type.Object({
     kind: Kind,
     name: Name,
-    /** Revision at which it was last changed; an update has to name it. */
+    /** Revision of the last change; an update must state it as its base version. */
     version: Type.Integer({ minimum: 0 }),
-    /** Who changed it last, and by which change. */
+    /** Operator of the last change. */
     operator: Type.String(),
     changeId: Type.String(),
     spec: Type.Unknown(),
@@ -74,7 +74,7 @@
     op: Type.Literal("put"),
     kind: Kind,
     name: Name,
-    /** Version that the change builds on; 0 for a resource that is new. */
+    /** Version that the change is based on; 0 for a new resource. */
     baseVersion: Type.Integer({ minimum: 0 }),
     spec: Type.Unknown(),
 }, strict);
@@ -89,9 +89,9 @@
 export const ChangeItem = Type.Union([Put, Delete]);
 export type ChangeItem = Static<typeof ChangeItem>;
 
-/** One change: all of its items take effect, or none. */
+/** An atomic change: either all of its items take effect or none. */
 export const Change = Type.Object({
-    /** Made by the operator's side; a change that is resent under it answers as the first did. */
+    /** Idempotency key chosen by the operator's client: resending a change returns the first result. */
     changeId: Type.String({ minLength: 1, maxLength: 100 }),
     operator: Type.String({ minLength: 1, maxLength: 100 }),
     items: Type.Array(ChangeItem, { minItems: 1, maxItems: 5000 }),
@@ -104,13 +104,13 @@
     message: Type.String(),
 });
 
-/** What became of a change. */
+/** Result of a change. */
 export const ChangeResult = Type.Union([
     Type.Object({
         tag: Type.Literal("accepted"),
-        /** Revision of the declarations that has the change in it. */
+        /** Revision of the declarations that includes the change. */
         revision: Type.Integer(),
-        /** Items that were as declared already. */
+        /** Number of items that matched the current declarations. */
         unchanged: Type.Integer(),
     }),
     Type.Object({ tag: Type.Literal("refused"), issues: Type.Array(IssueSchema) }),
--- a/packages/declarations/src/tests/declarations.test.ts
+++ b/packages/declarations/src/tests/declarations.test.ts
@@ -7,13 +7,13 @@
     return { op: "put", kind: "Model", name, baseVersion, spec: { version, memory: "1 GiB" } };
 }
 
-class Log {
+class TestLog {
     public index = 0;
-    public readonly machine = new Declarations();
+    public readonly declarations = new Declarations();
 
     public change(changeId: string, operator: string, ...items: ChangeItem[]): ChangeResult {
         this.index += 1;
-        return this.machine.apply({ changeId, operator, items }, { index: this.index });
+        return this.declarations.apply({ changeId, operator, items }, { index: this.index });
     }
 }
 
@@ -22,9 +22,9 @@
 }
 
 describe("Declarations", () => {
-    describe("two changes with equal versions", () => {
-        it("have one winner, which the other's conflict names", () => {
-            const log = new Log();
+    describe("two changes of the same version", () => {
+        it("conflict, and the issue names the accepted one", () => {
+            const log = new TestLog();
             log.change("c0", "awa", model("m", 0));
             expect(log.change("c1", "awa", model("m", 1, "2")).tag).toEqual("accepted");
             const second = log.change("c2", "kojo", model("m", 1, "3"));
@@ -33,34 +33,34 @@
     });
 
     describe("a change that is resent", () => {
-        it("answers as the first did, also after a snapshot", () => {
-            const log = new Log();
+        it("returns the first result, also after a snapshot is restored", () => {
+            const log = new TestLog();
             const first = log.change("c1", "awa", model("m", 0));
             log.change("c2", "kojo", model("m", 1, "2"));
             const restored = new Declarations();
-            restored.restore(JSON.parse(JSON.stringify(log.machine.snapshot())));
+            restored.restore(JSON.parse(JSON.stringify(log.declarations.snapshot())));
             const again = restored.apply({ changeId: "c1", operator: "awa", items: [model("m", 0)] }, { index: 9 });
             expect(again).toEqual(first);
             expect(restored.revision).toEqual(2);
         });
 
-        it("is refused when its id belongs to another change", () => {
-            const log = new Log();
+        it("is refused if its id was used for a different change", () => {
+            const log = new TestLog();
             log.change("c1", "awa", model("m", 0));
             expect(messageOf(log.change("c1", "awa", model("n", 0)))).toInclude("belongs to another change");
         });
     });
 
     describe("a change of several items", () => {
-        it("takes effect whole or not at all", () => {
-            const log = new Log();
+        it("is atomic", () => {
+            const log = new TestLog();
             log.change("c1", "awa", model("m", 0));
             expect(log.change("c2", "awa", model("n", 0), model("m", 0, "2")).tag).toEqual("refused");
-            expect(log.machine.get("Model", "n")).toEqual(undefined);
+            expect(log.declarations.get("Model", "n")).toEqual(undefined);
         });
 
-        it("may bring an adapter with its model, and not without", () => {
-            const log = new Log();
+        it("can add an adapter together with its model, but not without it", () => {
+            const log = new TestLog();
             const adapter: ChangeItem = {
                 op: "put",
                 kind: "Adapter",
@@ -75,7 +75,7 @@
         });
     });
 
-    it("agree with a naive version under random changes", () => {
+    it("agree with a reference model under random changes", () => {
         const op = fc.record({
             name: fc.constantFrom("x", "y", "z"),
             base: fc.nat(6),
@@ -84,7 +84,7 @@
         });
         fc.assert(
             fc.property(fc.array(op, { maxLength: 30 }), ops => {
-                const log = new Log();
+                const log = new TestLog();
                 const naive = new Map<string, { version: number; spec: string; }>();
                 const answers = new Map<number, string>();
                 for (const { name, base, version, id } of ops) {
@@ -102,7 +102,7 @@
                     }
                     answers.set(id, `${key}|${result.tag}`);
                 }
-                const kept = log.machine.list().map(resource => [resource.name, resource.version]);
+                const kept = log.declarations.list().map(resource => [resource.name, resource.version]);
                 expect(kept).toEqual([...naive].sort().map(([name, { version }]) => [name, version]));
             }),
             { seed: 20261202, numRuns: 300 },
@@ -111,7 +111,7 @@
 });
 
 describe("parseManifests", () => {
-    it("names each wrong key", () => {
+    it("reports the path of each invalid or unknown key", () => {
         const result = parseManifests("[[model]]\nname = \"m\"\nversion = \"1\"\nmemory = \"lots\"\nsize = 1", "toml");
         const issues = result.err ? result.val.issues.map(issue => issue.path.join(".")) : [];
         expect(issues.sort()).toEqual(["model.0.memory", "model.0.size"]);
--- a/packages/settings/src/schemas.ts
+++ b/packages/settings/src/schemas.ts
@@ -1,42 +1,42 @@
-/** Every key of a settings file, with its default. */
+/** Schema of the settings file, with defaults. */
 import { Address, durationWith, HttpUrl, Name, Size, sizeWith } from "@winchpath/core";
 import Type, { type StaticDecode } from "typebox";
 
 const strict = { additionalProperties: false };
 
-function duration(standard: string) {
-    return durationWith({ default: standard });
+function duration(defaultValue: string) {
+    return durationWith({ default: defaultValue });
 }
 
-function size(standard: string) {
-    return sizeWith({ default: standard });
+function size(defaultValue: string) {
+    return sizeWith({ default: defaultValue });
 }
 
-/** Listeners of the process; callers, operators and the system's own processes never share one. */
+/** Listen addresses. Callers, operators and peer processes each have a listener of their own. */
 const Listen = Type.Object({
-    /** For the system's own processes. */
+    /** For the other processes of the deployment. */
     peers: Address,
     /** For callers; entries only. */
     callers: Type.Optional(Address),
     /** For operators and for the platform's health checks. */
     operators: Type.Optional(Address),
-    /** The address under which other processes reach `peers`, where it differs. */
+    /** The address by which other processes reach `peers`, if it differs. */
     advertise: Type.Optional(Address),
 }, strict);
 
 const Control = Type.Object({
-    /** Base URLs of all hosts that hold the control state, the same list everywhere. */
+    /** Base URLs of all hosts that replicate the control state; the list is the same on every host. */
     seeds: Type.Array(HttpUrl, { minItems: 1 }),
     heartbeat: duration("100ms"),
     election: duration("800ms"),
-    /** Log entries between two snapshots. */
+    /** Number of log entries between snapshots. */
     snapshotEvery: Type.Integer({ default: 2000, minimum: 10 }),
 }, strict);
 
 const Security = Type.Object({
-    /** File with the key that the system's processes and its operators share. */
+    /** File with the key shared by all processes and operators. */
     keyFile: Type.Optional(Type.String({ minLength: 1 })),
-    /** Runs without a key. For trials on one machine. */
+    /** Runs without a key; for testing on a single machine. */
     insecure: Type.Boolean({ default: false }),
 }, { ...strict, default: {} });
 
@@ -44,58 +44,58 @@
     name: Name,
     /** Memory for models, adapters and caches. */
     memory: Size,
-    /** Relative speed; 1 for the oldest cards. */
+    /** Relative speed; 1 for the oldest accelerators. */
     speed: Type.Number({ default: 1, exclusiveMinimum: 0 }),
 }, strict);
 
-/** The upstream beside an agent. */
+/** The upstream of an agent. */
 const Upstream = Type.Object({
     name: Name,
     kind: Type.Union([Type.Literal("engine"), Type.Literal("service")]),
-    /** Name of the declared service; services only. */
+    /** Name of the declared service, for kind "service". */
     service: Type.Optional(Name),
     url: HttpUrl,
-    /** Requests that it serves at once at full speed. */
+    /** Requests that it can serve concurrently at full speed. */
     concurrency: Type.Integer({ default: 16, minimum: 1 }),
-    /** Whether the engine refuses orders with an old fencing number. */
+    /** Whether the engine rejects orders with an outdated fencing token. */
     checksFence: Type.Boolean({ default: true }),
-    /** Longest time for which an order may be under way to an engine that ignores fencing numbers. */
+    /** Longest time that an order can be in flight to an engine that does not check fencing tokens. */
     orderLifetime: duration("2s"),
     accelerators: Type.Array(Accelerator, { default: [] }),
-    /** How often the engine's state is read. */
+    /** Interval for polling the engine's state. */
     pollEvery: duration("100ms"),
-    /** Heartbeat of the agent's lease. */
+    /** Interval between the reports that renew the agent's lease. */
     reportEvery: duration("250ms"),
 }, strict);
 
 const Limits = Type.Object({
-    /** Largest body of a request. */
+    /** Maximum size of a request body. */
     body: size("4 MiB"),
-    /** Largest header of a request, in bytes. */
+    /** Maximum size of a request's headers. */
     header: size("16 KiB"),
     connections: Type.Integer({ default: 10_000, minimum: 1 }),
-    /** Time for a whole request, unless the caller asks for less. */
+    /** Timeout for a whole request, unless the caller sets a shorter one. */
     request: duration("60s"),
-    /** Time in which the first token is due. */
+    /** Time allowed until the first token; a queued request that cannot start within it is rejected. */
     firstToken: duration("2s"),
-    /** Requests that wait for one model at most. */
+    /** Maximum number of queued requests per model. */
     queue: Type.Integer({ default: 256, minimum: 1 }),
-    /** Share of requests that may be retried, beyond a small allowance. */
+    /** Fraction of requests that may be retried, on top of a small fixed allowance. */
     retryShare: Type.Number({ default: 0.2, minimum: 0, maximum: 1 }),
-    /** How long a claimed idempotency key is kept. */
+    /** Retention time of claimed idempotency keys. */
     claimWindow: duration("1d"),
-    /** Time that a stop leaves to running requests. */
+    /** How long shutdown waits for running requests. */
     drain: duration("30s"),
 }, { ...strict, default: {} });
 
 const Placement = Type.Object({
-    /** Loads a second that the weight store allows. */
+    /** Loads per second that the weight store allows. */
     storeRate: Type.Number({ default: 1, exclusiveMinimum: 0 }),
-    /** Loads at once at full speed. */
+    /** Concurrent loads that the weight store serves at full speed. */
     storeConcurrency: Type.Integer({ default: 8, minimum: 1 }),
-    /** Price of one move, in the share of a replica's capacity that it has to win. */
+    /** Minimum gain that justifies moving a replica, as a fraction of a replica's capacity. */
     moveCost: Type.Number({ default: 0.5, minimum: 0 }),
-    /** How long a model has one replica only before it gets a spare in another data centre. */
+    /** How long a model may have a single replica before a spare is added in another data centre. */
     sparePatience: duration("1m"),
 }, { ...strict, default: {} });
 
@@ -104,7 +104,7 @@
     /** Name of this host. */
     host: Name,
     dataCentre: Name,
-    /** The one folder for durable state. An entry or control host with one is a voter. */
+    /** Folder for durable state. An entry or control host that has one is a voter. */
     dataFolder: Type.Optional(Type.String({ minLength: 1 })),
     listen: Listen,
     control: Control,
--- a/packages/settings/src/settings.ts
+++ b/packages/settings/src/settings.ts
@@ -1,15 +1,15 @@
-/** Reads and checks settings files. */
+/** Loads and validates settings files. */
 import { Err, Failure, FailureCode, type Issue, messageOf, Ok, type Result, safeDecode } from "@winchpath/core";
 import { readFileSync } from "node:fs";
 import { dirname, resolve } from "node:path";
 import { parse as parseToml } from "smol-toml";
 import { SettingsFile } from "./schemas.js";
 
-/** Checked settings; durations in milliseconds, sizes in bytes. */
+/** Validated settings, with durations in milliseconds and sizes in bytes. */
 export interface Settings extends SettingsFile {
     /** The shared key, read from its file. */
     readonly key: string | undefined;
-    /** Base URL under which other processes reach this one. */
+    /** Base URL by which other processes reach this one. */
     readonly peerUrl: string;
 }
 
@@ -30,7 +30,7 @@
         : result;
 }
 
-/** Checks the text of a settings file; paths in it are taken from `folder`. */
+/** Parses the text of a settings file; relative paths in it are resolved against `folder`. */
 export function parseSettings(text: string, folder: string): Result<Settings, Failure> {
     let raw: unknown;
     try {
@@ -44,7 +44,7 @@
         return decoded;
     }
     const file = decoded.val;
-    const issues = roleIssues(file);
+    const issues = checkRole(file);
     const key = readKey(file, folder, issues);
     if (issues.length > 0) {
         return Err(new Failure(issues));
@@ -55,40 +55,40 @@
     return Ok({ ...file, dataFolder, key, peerUrl: `http://${host}:${address.port}` });
 }
 
-/** Findings that no schema tells: keys that the role needs or has no use for. */
-function roleIssues(file: SettingsFile): Issue[] {
+/** Checks which keys the role requires and which it does not support. */
+function checkRole(file: SettingsFile): Issue[] {
     const issues: Issue[] = [];
-    const need = (present: boolean, ...path: string[]) => {
+    const requireKey = (present: boolean, ...path: string[]) => {
         if (!present) {
-            issues.push({ code: FailureCode.invalid, path, message: `role ${file.role} needs this key` });
+            issues.push({ code: FailureCode.invalid, path, message: `role ${file.role} requires this key` });
         }
     };
-    const forbid = (present: boolean, ...path: string[]) => {
+    const rejectKey = (present: boolean, ...path: string[]) => {
         if (present) {
-            issues.push({ code: FailureCode.invalid, path, message: `role ${file.role} has no use for this key` });
+            issues.push({ code: FailureCode.invalid, path, message: `role ${file.role} does not support this key` });
         }
     };
     if (file.role === "agent") {
-        need(file.upstream !== undefined, "upstream");
-        forbid(file.listen.callers !== undefined, "listen", "callers");
-        forbid(file.dataFolder !== undefined, "dataFolder");
+        requireKey(file.upstream !== undefined, "upstream");
+        rejectKey(file.listen.callers !== undefined, "listen", "callers");
+        rejectKey(file.dataFolder !== undefined, "dataFolder");
     }
     else {
-        forbid(file.upstream !== undefined, "upstream");
-        need(file.listen.operators !== undefined, "listen", "operators");
+        rejectKey(file.upstream !== undefined, "upstream");
+        requireKey(file.listen.operators !== undefined, "listen", "operators");
     }
     if (file.role === "entry") {
-        need(file.listen.callers !== undefined, "listen", "callers");
+        requireKey(file.listen.callers !== undefined, "listen", "callers");
     }
     if (file.role === "control") {
-        need(file.dataFolder !== undefined, "dataFolder");
-        forbid(file.listen.callers !== undefined, "listen", "callers");
+        requireKey(file.dataFolder !== undefined, "dataFolder");
+        rejectKey(file.listen.callers !== undefined, "listen", "callers");
     }
     if (file.upstream?.kind === "service") {
-        need(file.upstream.service !== undefined, "upstream", "service");
+        requireKey(file.upstream.service !== undefined, "upstream", "service");
     }
     if (file.upstream?.kind === "engine") {
-        need(file.upstream.accelerators.length > 0, "upstream", "accelerators");
+        requireKey(file.upstream.accelerators.length > 0, "upstream", "accelerators");
     }
     return issues;
 }
@@ -98,7 +98,11 @@
     const path = ["security", "keyFile"];
     if (keyFile === undefined) {
         if (!insecure) {
-            issues.push({ code: FailureCode.invalid, path, message: "key is missing, and insecure is not set" });
+            issues.push({
+                code: FailureCode.invalid,
+                path,
+                message: "key is missing and security.insecure is not set",
+            });
         }
         return undefined;
     }
@@ -115,12 +119,14 @@
     return undefined;
 }
 
-/** Refuses an environment in which Node.js would use io_uring, which the platform forbids. */
+/** Fails if Node.js would use io_uring, which the platform does not allow. */
 export function checkEnvironment(env: Readonly<Record<string, string | undefined>>): Result<void, Failure> {
     const value = env["UV_USE_IO_URING"];
     if (value !== undefined && value !== "0") {
         return Err(
-            Failure.of(FailureCode.environment, "io_uring is turned on; unset it or set it to 0", ["UV_USE_IO_URING"]),
+            Failure.of(FailureCode.environment, "io_uring is enabled; unset this variable or set it to 0", [
+                "UV_USE_IO_URING",
+            ]),
         );
     }
     return Ok(undefined);
--- a/packages/settings/src/tests/settings.test.ts
+++ b/packages/settings/src/tests/settings.test.ts
@@ -43,7 +43,7 @@
 }
 
 describe("settings", () => {
-    it("fill in defaults, in milliseconds and bytes", () => {
+    it("fill in defaults and decode them to milliseconds and bytes", () => {
         const cfg = parseSettings(entry, "/srv").unwrap();
         expect(cfg.control.heartbeat).toEqual(100);
         expect(cfg.limits.body).toEqual(4 * 2 ** 20);
@@ -57,19 +57,19 @@
         expect(cfg.upstream?.orderLifetime).toEqual(2000);
     });
 
-    describe("name the key of", () => {
+    describe("report the path of", () => {
         const cases: [string, string, string][] = [
             ["an unknown key", `${entry}[limits]\ncolour = 1`, "limits.colour: unknown key"],
-            ["a wrong unit", `${entry}[limits]\nrequest = "5 parsecs"`, "limits.request: must match pattern"],
-            ["a wrong size", agent.replace("24 GiB", "24 GB"), "upstream.accelerators.0.memory: must match pattern"],
-            ["a wrong address", entry.replace("127.0.0.1:8101", "here"), "listen.callers: must match pattern"],
+            ["an invalid unit", `${entry}[limits]\nrequest = "5 parsecs"`, "limits.request: must match pattern"],
+            ["an invalid size", agent.replace("24 GiB", "24 GB"), "upstream.accelerators.0.memory: must match pattern"],
+            ["an invalid address", entry.replace("127.0.0.1:8101", "here"), "listen.callers: must match pattern"],
             ["a missing key", entry.replace("host = \"entry-plateau\"", ""), "host: key is missing"],
             [
                 "a key of another role",
                 agent.replace("[control]", "callers = \"127.0.0.1:1\"\n[control]"),
-                "listen.callers: role agent has no use for this key",
+                "listen.callers: role agent does not support this key",
             ],
-            ["an unsecured process", entry.replace("insecure = true", ""), "security.keyFile: key is missing"],
+            ["a missing shared key", entry.replace("insecure = true", ""), "security.keyFile: key is missing"],
         ];
         for (const [name, text, expected] of cases) {
             it(name, () => {
@@ -80,7 +80,7 @@
         }
     });
 
-    it("name the file, and read the key beside it", () => {
+    it("read the key file relative to the settings file, and name the settings file in issues", () => {
         const folder = mkdtempSync(join(tmpdir(), "winchpath-settings-"));
         const file = join(folder, "entry.toml");
         writeFileSync(join(folder, "key"), "a key of some length\n");
@@ -92,7 +92,7 @@
         rmSync(folder, { recursive: true });
     });
 
-    it("refuse an environment with io_uring", () => {
+    it("reject an environment that enables io_uring", () => {
         expect(checkEnvironment({ UV_USE_IO_URING: "1" }).err).toEqual(true);
         expect(checkEnvironment({}).ok).toEqual(true);
     });
--- a/packages/upstream/src/agents.ts
+++ b/packages/upstream/src/agents.ts
@@ -1,4 +1,4 @@
-/** The agent: the process beside one upstream. */
+/** The agent process, which runs next to one upstream and proxies its requests and orders. */
 import { create } from "@bufbuild/protobuf";
 import { messageOf, newIdentity, sleep } from "@winchpath/core";
 import { type RpcClients } from "@winchpath/rpc";
@@ -14,119 +14,118 @@
     type ReportResponse,
 } from "./gen/winchpath/upstream/v1/upstream_pb.js";
 import { OrderGate } from "./orders.js";
-import { ReportClock, Reporter, type ReportSource } from "./reporters.js";
-import { type Admission, Runner } from "./runners.js";
+import { Reporter, ReportSequencer, type ReportSource } from "./reporters.js";
+import { type AdmissionCheck, Runner } from "./runners.js";
 import { type EngineState } from "./schemas.js";
 import { lateAfterMs } from "./tables.js";
 
-/** A leaver goes on taking work this long, for models that have no other replica yet. */
-const leaveGraceMs = 1500;
-/** Requests in the upstream, in multiples of what it serves at full speed, above which more are refused. */
-const overloadFactor = 8;
+/** How long a leaving upstream keeps accepting requests, for models that have no other replica yet. */
+const leavingGraceMs = 1500;
+/** Multiple of the configured concurrency at which further requests are refused. */
+const maxConcurrencyFactor = 8;
 
-/** Settings of an agent's upstream. */
 export type UpstreamSettings = NonNullable<Settings["upstream"]>;
 
-/** What an agent is made of. */
-export interface AgentParts {
+/** Dependencies of an {@link Agent}. */
+export interface AgentDependencies {
     readonly cfg: Settings;
     readonly upstream: Upstream;
     readonly clients: RpcClients;
     readonly timeline: Timeline;
 }
 
-interface KnownState {
+interface PolledState {
     readonly state: EngineState | undefined;
     readonly settled: Fence;
     readonly readAt: number;
 }
 
-interface Voter {
+interface VoterResponse {
     readonly term: bigint;
     readonly voters: number;
 }
 
 export class Agent implements ReportSource {
-    /** New at each start; later ones sort after earlier ones. */
+    /** Unique to each start of the agent; sorts by start time. */
     public readonly incarnation = `${Date.now().toString(36).padStart(9, "0")}-${newIdentity()}`;
-    public readonly gate: OrderGate;
+    public readonly orderGate: OrderGate;
     public readonly runner: Runner;
     private readonly cfg: UpstreamSettings;
-    private readonly reports = new ReportClock();
+    private readonly sequencer = new ReportSequencer();
     private readonly reporter: Reporter;
     private readonly stopping = new AbortController();
-    /** Newest revision that is known of each declared name. */
-    private readonly revisions = new Map<string, number>();
-    private readonly voters = new Map<string, Voter>();
+    /** Newest known revision of each declared resource, by name. */
+    private readonly resourceRevisions = new Map<string, number>();
+    private readonly voterResponses = new Map<string, VoterResponse>();
     private knownRevision = 0;
-    private known: KnownState | undefined;
+    private lastPoll: PolledState | undefined;
     private leavingSince: number | undefined;
 
-    public constructor(private readonly parts: AgentParts) {
-        this.cfg = parts.cfg.upstream!;
-        this.gate = new OrderGate(parts.upstream, {
+    public constructor(private readonly dependencies: AgentDependencies) {
+        this.cfg = dependencies.cfg.upstream!;
+        this.orderGate = new OrderGate(dependencies.upstream, {
             incarnation: this.incarnation,
             checksFence: this.cfg.checksFence,
             orderLifetimeMs: this.cfg.orderLifetime,
-        }, parts.timeline);
+        }, dependencies.timeline);
         this.runner = new Runner(
-            parts.upstream,
+            dependencies.upstream,
             req => this.admit(req),
-            parts.timeline,
-            () => this.tellLeaving("the upstream's answer"),
+            dependencies.timeline,
+            () => this.announceLeaving("announced in the upstream's response"),
         );
-        this.reporter = new Reporter(parts.clients, this, this.cfg.reportEvery, this.stopping.signal);
+        this.reporter = new Reporter(dependencies.clients, this, this.cfg.reportEvery, this.stopping.signal);
     }
 
-    /** Announces the upstream, and goes on doing so until {@link stop}. */
+    /** Starts polling the upstream's state and reporting it, until {@link stop}. */
     public start(): void {
-        this.parts.timeline.record("agent.started", { detail: `incarnation=${this.incarnation}` });
+        this.dependencies.timeline.record("agent.started", { detail: `incarnation=${this.incarnation}` });
         void this.pollState();
-        this.reporter.setPeers(this.parts.cfg.control.seeds);
+        this.reporter.setPeers(this.dependencies.cfg.control.seeds);
     }
 
-    /** Tells all that the upstream leaves, and waits until what runs has ended, or `drainMs` is over. */
+    /** Announces that the upstream is leaving, then waits up to `drainMs` for running requests to end. */
     public async leave(drainMs: number): Promise<void> {
-        this.tellLeaving("the agent stops");
+        this.announceLeaving("the agent is stopping");
         const deadline = Date.now() + drainMs;
-        await sleep(Math.min(leaveGraceMs, drainMs));
+        await sleep(Math.min(leavingGraceMs, drainMs));
         while (this.runner.table.running > 0 && Date.now() < deadline) {
-            await this.runner.ended.wait(deadline - Date.now());
+            await this.runner.requestEnded.wait(deadline - Date.now());
         }
-        this.parts.timeline.record("agent.left", { detail: `unfinished=${this.runner.table.running}` });
+        this.dependencies.timeline.record("agent.left", { detail: `unfinished=${this.runner.table.running}` });
     }
 
-    /** From now on all are told that the upstream leaves; the first word counts. */
-    private tellLeaving(told: string): void {
+    /** Marks the upstream as leaving and reports it at once; later calls have no effect. */
+    private announceLeaving(reason: string): void {
         if (this.leavingSince === undefined) {
             this.leavingSince = Date.now();
-            this.parts.timeline.record("agent.leaving", { detail: `told by ${told}` });
+            this.dependencies.timeline.record("agent.leaving", { detail: `reason: ${reason}` });
             this.reporter.reportNow();
         }
     }
 
-    /** Settles an attempt; see {@link RunTable.fence}. */
+    /** Fences an attempt; see {@link RunTable.fence}. */
     public fence(requestId: string, attempt: number, seenReport: bigint): FenceOutcome {
-        return this.runner.table.fence(requestId, attempt, this.reports.ageOf(Number(seenReport)));
+        return this.runner.table.fence(requestId, attempt, this.sequencer.ageOf(Number(seenReport)));
     }
 
-    /** Ends all tasks, and cuts off what still runs. */
+    /** Stops all tasks and aborts the requests that are still running. */
     public async stop(): Promise<void> {
         this.stopping.abort();
         this.reporter.setPeers([]);
         this.runner.table.abortAll();
-        await this.parts.upstream.close();
+        await this.dependencies.upstream.close();
     }
 
     public report(): ReportRequest {
-        const { cfg, known } = this;
-        const load = known?.state?.load;
+        const { cfg, lastPoll } = this;
+        const load = lastPoll?.state?.load;
         return create(ReportRequestSchema, {
             upstream: cfg.name,
             incarnation: this.incarnation,
-            url: this.parts.cfg.peerUrl,
-            host: this.parts.cfg.host,
-            dataCentre: this.parts.cfg.dataCentre,
+            url: this.dependencies.cfg.peerUrl,
+            host: this.dependencies.cfg.host,
+            dataCentre: this.dependencies.cfg.dataCentre,
             service: cfg.kind === "engine" ? "engine" : cfg.service,
             leaving: this.leavingSince !== undefined,
             accelerators: cfg.accelerators.map(({ name, memory, speed }) => ({
@@ -134,87 +133,92 @@
                 memoryBytes: BigInt(memory),
                 speed,
             })),
-            settled: known?.settled,
-            stateKnown: known !== undefined,
-            residents: known?.state?.residents.map(resident => ({ ...resident, bytes: BigInt(resident.bytes) })) ?? [],
+            settled: lastPoll?.settled,
+            stateKnown: lastPoll !== undefined,
+            residents: lastPoll?.state?.residents.map(resident => ({ ...resident, bytes: BigInt(resident.bytes) }))
+                ?? [],
             load: {
                 running: load?.running ?? this.runner.table.running,
                 waiting: load?.waiting ?? 0,
                 capacity: cfg.concurrency,
             },
-            loadAgeMs: known === undefined ? 0 : Date.now() - known.readAt + (load?.ageMs ?? 0),
+            loadAgeMs: lastPoll === undefined ? 0 : Date.now() - lastPoll.readAt + (load?.ageMs ?? 0),
             knownRevision: BigInt(this.knownRevision),
             checksFence: cfg.checksFence,
-            sequence: BigInt(this.reports.next()),
+            sequence: BigInt(this.sequencer.next()),
         });
     }
 
-    public answered(url: string, res: ReportResponse): void {
+    public onResponse(url: string, res: ReportResponse): void {
         for (const { name, revision } of res.resources) {
-            this.revisions.set(name, Math.max(Number(revision), this.revisions.get(name) ?? 0));
+            this.resourceRevisions.set(name, Math.max(Number(revision), this.resourceRevisions.get(name) ?? 0));
         }
         if (Number(res.revision) > this.knownRevision) {
             this.knownRevision = Number(res.revision);
-            this.parts.timeline.record("revision.in-force", { revision: this.knownRevision });
+            this.dependencies.timeline.record("revision.in-force", { revision: this.knownRevision });
         }
         if (res.members.length > 0) {
-            this.reporter.setPeers([...new Set([...this.parts.cfg.control.seeds, ...res.members])]);
+            this.reporter.setPeers([...new Set([...this.dependencies.cfg.control.seeds, ...res.members])]);
         }
         if (res.voter) {
-            this.voters.set(url, { term: res.term, voters: res.voters });
+            this.voterResponses.set(url, { term: res.term, voters: res.voters });
             this.confirmTerm();
         }
     }
 
-    /** A term is confirmed once a majority of the voters was heard under this incarnation. */
+    /** Confirms the highest reported term once a majority of the voters has responded to this incarnation. */
     private confirmTerm(): void {
-        const answers = [...this.voters.values()];
-        const needed = Math.floor(Math.max(...answers.map(answer => answer.voters)) / 2) + 1;
-        if (answers.length >= needed) {
-            this.gate.confirmTerm(answers.reduce((max, { term }) => term > max ? term : max, 0n));
+        const responses = [...this.voterResponses.values()];
+        const majority = Math.floor(Math.max(...responses.map(response => response.voters)) / 2) + 1;
+        if (responses.length >= majority) {
+            this.orderGate.confirmTerm(responses.reduce((max, { term }) => term > max ? term : max, 0n));
         }
     }
 
-    private readonly admit: Admission = req => {
+    private readonly admit: AdmissionCheck = req => {
         const { table } = this.runner;
-        const known = this.revisions.get(req.resource) ?? 0;
+        const knownRevision = this.resourceRevisions.get(req.resource) ?? 0;
         if (req.incarnation !== this.incarnation) {
             return { refusal: Refusal.INCARNATION, message: "the agent has restarted" };
         }
-        if (this.reports.ageOf(Number(req.seenReport)) > lateAfterMs) {
-            return { refusal: Refusal.LATE, message: "the entry acted on a report that is too old" };
+        if (this.sequencer.ageOf(Number(req.seenReport)) > lateAfterMs) {
+            return { refusal: Refusal.LATE, message: "the entry chose this upstream by a report that is too old" };
         }
-        if (Number(req.revision) < known) {
-            return { refusal: Refusal.STALE_REVISION, message: `revision ${known} is in force`, revision: known };
+        if (Number(req.revision) < knownRevision) {
+            return {
+                refusal: Refusal.STALE_REVISION,
+                message: `revision ${knownRevision} is in force`,
+                revision: knownRevision,
+            };
         }
-        if (this.leavingSince !== undefined && Date.now() - this.leavingSince > leaveGraceMs) {
+        if (this.leavingSince !== undefined && Date.now() - this.leavingSince > leavingGraceMs) {
             return { refusal: Refusal.LEAVING, message: "the upstream is leaving" };
         }
-        if (table.running >= this.cfg.concurrency * overloadFactor) {
-            return { refusal: Refusal.OVERLOADED, message: "the upstream has too much to do" };
+        if (table.running >= this.cfg.concurrency * maxConcurrencyFactor) {
+            return { refusal: Refusal.OVERLOADED, message: "the upstream has too many running requests" };
         }
         return undefined;
     };
 
-    /** Reads the engine's state over and over; a change in it is reported at once. */
+    /** Polls the engine's state and reports each change at once. */
     private async pollState(): Promise<void> {
         const { signal } = this.stopping;
-        let shown = "";
+        let lastReported = "";
         while (!signal.aborted) {
             try {
-                // Taken before the state is read: what had settled by then shows in it.
-                const { settled } = this.gate;
-                const state = await this.parts.upstream.readState();
-                this.known = { state, settled, readAt: Date.now() };
-                const next = JSON.stringify([state?.residents, Number(settled.term), Number(settled.index)]);
-                if (next !== shown) {
-                    shown = next;
+                // Captured before the read, so that the state includes every order settled up to this fence.
+                const { settled } = this.orderGate;
+                const state = await this.dependencies.upstream.readState();
+                this.lastPoll = { state, settled, readAt: Date.now() };
+                const current = JSON.stringify([state?.residents, Number(settled.term), Number(settled.index)]);
+                if (current !== lastReported) {
+                    lastReported = current;
                     this.reporter.reportNow();
                 }
             }
             catch (err) {
-                this.parts.timeline.record("upstream.state-lost", { detail: messageOf(err) });
-                this.known = undefined;
+                this.dependencies.timeline.record("upstream.state-lost", { detail: messageOf(err) });
+                this.lastPoll = undefined;
             }
             await sleep(this.cfg.pollEvery, signal);
         }
--- a/packages/upstream/src/engines.ts
+++ b/packages/upstream/src/engines.ts
@@ -1,4 +1,4 @@
-/** How an agent speaks to the upstream beside it. */
+/** The agent's client for its upstream. */
 import { messageOf, safeParse } from "@winchpath/core";
 import { isRefused } from "@winchpath/quarantine";
 import { Agent, type Dispatcher, request } from "undici";
@@ -7,22 +7,21 @@
 const orderTimeoutMs = 1000;
 const stateTimeoutMs = 1000;
 const acceptedStatus = 202;
-const connections = 512;
+const maxConnections = 512;
 
-/** What is known of an order after it was sent. */
-export type OrderAnswer = "taken" | "refused" | "uncertain";
+/** Result of sending an order; "uncertain" if no response arrived, so that it may or may not have taken effect. */
+export type OrderResult = "taken" | "refused" | "uncertain";
 
-/** An answer of the upstream whose body is still to be read. */
+/** A response of the upstream whose body has not been read yet. */
 export interface UpstreamAnswer {
     readonly status: number;
-    /** Names in lower case. */
+    /** Header values by lower-case name. */
     readonly headers: Readonly<Record<string, string | string[] | undefined>>;
     readonly body: AsyncIterable<Uint8Array>;
-    /** Reads the body to its end, so that the connection can be used again. */
+    /** Reads and drops the body, so that the connection can be reused. */
     discard(): Promise<void>;
 }
 
-/** A request to the upstream. */
 export interface UpstreamRequest {
     readonly method: string;
     readonly path: string;
@@ -31,24 +30,29 @@
     readonly signal: AbortSignal;
 }
 
-/** The upstream could not be connected to, so that it can't have begun anything. */
+/** The connection to the upstream failed, so the request cannot have been started. */
 export class NotConnectedError extends Error {}
 
-/** An engine or a plain service; a service has no state and takes no orders. */
+/** An inference engine or a plain service; a plain service reports no state and accepts no orders. */
 export interface Upstream {
-    /** Reads the engine's residents and load; undefined for a plain service. */
+    /** Returns the engine's resident models and load, or undefined for a plain service. */
     readState(): Promise<EngineState | undefined>;
-    /** Sends one order. Never throws. */
-    order(order: EngineOrder): Promise<OrderAnswer>;
+    /** Sends an order; failures are reported in the result, never thrown. */
+    order(order: EngineOrder): Promise<OrderResult>;
     send(req: UpstreamRequest): Promise<UpstreamAnswer>;
-    /** Whether its process has ended: its address refuses connections. */
+    /** Whether the upstream's process has ended, that is, its address refuses connections. */
     hasEnded(): Promise<boolean>;
     close(): Promise<void>;
 }
 
-/** An upstream over HTTP. */
+/** An upstream reached over HTTP. */
 export class HttpUpstream implements Upstream {
-    private readonly dispatcher = new Agent({ connections, pipelining: 1, bodyTimeout: 0, headersTimeout: 0 });
+    private readonly dispatcher = new Agent({
+        connections: maxConnections,
+        pipelining: 1,
+        bodyTimeout: 0,
+        headersTimeout: 0,
+    });
 
     public constructor(private readonly url: string, private readonly isEngine: boolean) {}
 
@@ -63,7 +67,7 @@
         return safeParse(EngineState, await body.json()).unwrap();
     }
 
-    public async order(order: EngineOrder): Promise<OrderAnswer> {
+    public async order(order: EngineOrder): Promise<OrderResult> {
         try {
             const { statusCode, body } = await request(`${this.url}/engine/orders`, {
                 dispatcher: this.dispatcher,
@@ -92,7 +96,7 @@
             return { status: res.statusCode, headers: res.headers, body: res.body, discard: () => res.body.dump() };
         }
         catch (err) {
-            if (wasNeverConnected(err)) {
+            if (isConnectFailure(err)) {
                 throw new NotConnectedError(messageOf(err));
             }
             throw err;
@@ -108,7 +112,7 @@
     }
 }
 
-function wasNeverConnected(err: unknown): boolean {
+function isConnectFailure(err: unknown): boolean {
     const code = (err as { code?: string; }).code;
     return code === "ECONNREFUSED" || code === "UND_ERR_CONNECT_TIMEOUT";
 }
--- a/packages/upstream/src/fences.ts
+++ b/packages/upstream/src/fences.ts
@@ -1,4 +1,4 @@
-/** Fencing numbers: the leader's term, then the log index of the decision. */
+/** Fencing tokens, ordered by the leader's term, then by the log index of the decision. */
 import { create } from "@bufbuild/protobuf";
 import { type Fence, FenceSchema } from "./gen/winchpath/upstream/v1/upstream_pb.js";
 
@@ -6,7 +6,7 @@
     return create(FenceSchema, { term: BigInt(term), index: BigInt(index) });
 }
 
-/** Below, at or above zero as `a` is older than, the same as or newer than `b`. */
+/** Compares like a sort function: negative if `a` is older than `b`, 0 if equal, positive if newer. */
 export function compareFences(a: Fence, b: Fence): number {
     return Number(a.term === b.term ? a.index - b.index : a.term - b.term);
 }
--- a/packages/upstream/src/records.ts
+++ b/packages/upstream/src/records.ts
@@ -1,4 +1,4 @@
-/** What an agent remembers of one attempt of one request. */
+/** Buffered response of one attempt of a request. */
 import { create } from "@bufbuild/protobuf";
 import { Notifier } from "@winchpath/core";
 import {
@@ -13,89 +13,90 @@
     RunRefusedSchema,
 } from "./gen/winchpath/upstream/v1/upstream_pb.js";
 
-/** Bytes that the upstream may be ahead of the slowest reader. */
+/** Unread bytes of the slowest reader at which reading from the upstream pauses. */
 const maxUnreadBytes = 256 * 1024;
-/** Bytes of an answer that are kept for those who attach later. */
-const maxKeptBytes = 1024 * 1024;
-/** Bytes of one chunk, give or take one piece of the upstream's. */
+/** Bytes of a response that are retained for readers that attach later. */
+const maxRetainedBytes = 1024 * 1024;
+/** Size at which a chunk is complete; it exceeds this by less than one piece of the upstream's body. */
 const maxChunkBytes = 64 * 1024;
-const patienceMs = 1000;
+const recheckIntervalMs = 1000;
 
-/** How an attempt ended: one of the three. */
-export interface LastPart {
+/** How an attempt ended; exactly one property is set. */
+export interface RunResult {
     readonly end?: RunEnd;
     readonly refused?: RunRefused;
     readonly broken?: RunBroken;
 }
 
 /**
- * The answer of one attempt, while it comes in and for a while after. Readers
- * may come and go; the upstream waits for the slowest.
+ * The response of one attempt, kept while it arrives and for a while after.
+ * Readers may attach and detach at any time; the slowest one applies
+ * backpressure to the upstream.
  */
 export class RunRecord {
     public outcome = FenceOutcome.RUNNING;
-    /** Date.now() of the end; undefined while it runs. */
+    /** `Date.now()` at the end; undefined while running. */
     public endedAt: number | undefined;
     public readonly abort = new AbortController();
     private head: RunHead | undefined;
-    private last: LastPart | undefined;
+    private result: RunResult | undefined;
     private body: Uint8Array[] = [];
-    /** Offset of the first kept byte. */
-    private start = 0;
-    private end = 0;
+    /** Offset of the first retained byte. */
+    private startOffset = 0;
+    private endOffset = 0;
     private readonly changed = new Notifier();
     private readonly positions = new Map<symbol, number>();
 
-    public constructor(public readonly idempotent: boolean, private readonly onEnd: () => void) {}
+    public constructor(public readonly idempotent: boolean, private readonly onFinished: () => void) {}
 
-    public get keptBytes(): number {
-        return this.end - this.start;
+    public get retainedBytes(): number {
+        return this.endOffset - this.startOffset;
     }
 
-    public get readers(): number {
+    public get readerCount(): number {
         return this.positions.size;
     }
 
-    /** Readers get the head with the first bytes, or with the end. */
+    /** Sets the head, which readers receive with the first body bytes or with the end. */
     public setHead(head: RunHead): void {
         this.head = head;
     }
 
-    /** Adds bytes; returns when there is room for more. */
-    public async push(bytes: Uint8Array): Promise<void> {
+    /** Appends bytes; resolves when there is room for more. */
+    public async append(bytes: Uint8Array): Promise<void> {
         this.body.push(bytes);
-        this.end += bytes.length;
+        this.endOffset += bytes.length;
         this.changed.notify();
         while (!this.abort.signal.aborted && this.unreadBytes() > maxUnreadBytes) {
-            await this.changed.wait(patienceMs);
+            await this.changed.wait(recheckIntervalMs);
         }
-        while (this.keptBytes > maxKeptBytes && this.mayDropFirst()) {
-            this.start += this.body.shift()!.length;
+        while (this.retainedBytes > maxRetainedBytes && this.canDropFirst()) {
+            this.startOffset += this.body.shift()!.length;
         }
     }
 
-    /** Ends the record: an end, a break or a refusal. */
-    public finish(outcome: FenceOutcome, last: LastPart): void {
+    /** Records how the attempt ended and wakes its readers. */
+    public finish(outcome: FenceOutcome, result: RunResult): void {
         this.outcome = outcome;
         this.endedAt = Date.now();
-        this.onEnd();
-        this.last = last;
+        this.onFinished();
+        this.result = result;
         this.changed.notify();
     }
 
-    /** Forgets the answer, but not what became of the attempt. */
-    public dropAnswer(): void {
+    /** Drops the response but keeps the attempt's outcome. */
+    public dropResponse(): void {
         this.body = [];
-        this.start = this.end;
+        this.startOffset = this.endOffset;
         this.head = undefined;
     }
 
-    /** The answer from `offset` of the body on, as it comes in. */
+    /** Streams the response as it arrives, starting at `offset` of the body. */
     public async *read(offset: number): AsyncGenerator<RunChunk> {
         const reader = Symbol("reader");
         this.positions.set(reader, offset);
         try {
-            yield* this.readAs(reader);
+            yield* this.readChunks(reader);
         }
         finally {
             this.positions.delete(reader);
@@ -103,11 +104,11 @@
         }
     }
 
-    private async *readAs(reader: symbol): AsyncGenerator<RunChunk> {
+    private async *readChunks(reader: symbol): AsyncGenerator<RunChunk> {
         for (let headSent = false;;) {
             const chunk = this.nextChunk(reader, headSent);
             if (chunk === undefined) {
-                await this.changed.wait(patienceMs);
+                await this.changed.wait(recheckIntervalMs);
                 continue;
             }
             headSent = true;
@@ -118,27 +119,27 @@
         }
     }
 
-    /** All that a reader can have now; undefined where there is nothing new. */
+    /** Returns what is available to a reader now, or undefined if there is nothing new. */
     private nextChunk(reader: symbol, headSent: boolean): RunChunk | undefined {
         const position = this.positions.get(reader)!;
-        if (position < this.start) {
-            return answerGone();
+        if (position < this.startOffset) {
+            return responseNotRetained();
         }
-        const body = this.bytesFrom(position);
-        const last = position + body.length >= this.end ? this.last : undefined;
-        if (body.length === 0 && last === undefined) {
+        const body = this.readFrom(position);
+        const result = position + body.length >= this.endOffset ? this.result : undefined;
+        if (body.length === 0 && result === undefined) {
             return undefined;
         }
         this.positions.set(reader, position + body.length);
         this.changed.notify();
-        return create(RunChunkSchema, { head: headSent ? undefined : this.head, body, ...last });
+        return create(RunChunkSchema, { head: headSent ? undefined : this.head, body, ...result });
     }
 
-    /** Kept bytes from a position on, as many as one chunk takes. */
-    private bytesFrom(position: number): Uint8Array {
+    /** Returns retained bytes from a position on, up to the size of a chunk. */
+    private readFrom(position: number): Uint8Array {
         const parts: Uint8Array[] = [];
         let bytes = 0;
-        let offset = this.start;
+        let offset = this.startOffset;
         for (const part of this.body) {
             if (position < offset + part.length && bytes < maxChunkBytes) {
                 parts.push(position > offset ? part.subarray(position - offset) : part);
@@ -150,11 +151,11 @@
     }
 
     private unreadBytes(): number {
-        return this.readers === 0 ? 0 : this.end - Math.min(...this.positions.values());
+        return this.readerCount === 0 ? 0 : this.endOffset - Math.min(...this.positions.values());
     }
 
-    private mayDropFirst(): boolean {
-        const firstEnd = this.start + this.body[0].length;
+    private canDropFirst(): boolean {
+        const firstEnd = this.startOffset + this.body[0].length;
         return [...this.positions.values()].every(position => position >= firstEnd);
     }
 }
@@ -164,18 +165,18 @@
     return chunk.end !== undefined || chunk.refused !== undefined || chunk.broken !== undefined;
 }
 
-/** Says that the answer is not to be had here any more; it does not say that it never ran. */
-export function answerGone(): RunChunk {
-    return refusedChunk({ refusal: Refusal.UNKNOWN_REQUEST, message: "the answer is not kept any more" });
+/** A refusal for a response that is not retained; the request may still have run. */
+export function responseNotRetained(): RunChunk {
+    return refusedChunk({ refusal: Refusal.UNKNOWN_REQUEST, message: "the response is no longer available" });
 }
 
-/** Why a request may not begin here. */
+/** Why a request was not started. */
 export interface RunRefusal {
     readonly refusal: Refusal;
     readonly message: string;
-    /** Newer revision that is in force, where that is why. */
+    /** The newer revision in force, for a refusal as a stale revision. */
     readonly revision?: number;
-    /** For how long the upstream wants nothing, in milliseconds, where that is why. */
+    /** Milliseconds until the upstream accepts requests again, for a refusal during a backoff. */
     readonly restMs?: number;
 }
 
--- a/packages/upstream/src/registrars.ts
+++ b/packages/upstream/src/registrars.ts
@@ -1,37 +1,37 @@
-/** The upstreams that a control host knows, by their leases. */
+/** Tracks the upstreams that hold a lease with this control host. */
 import { Notifier, sleep } from "@winchpath/core";
 import { type Timeline } from "@winchpath/timeline";
 import { type ReportRequest } from "./gen/winchpath/upstream/v1/upstream_pb.js";
 
-/** An upstream that is not heard for this long is out. */
+/** An upstream is removed when it has not reported for this long. */
 export const leaseMs = 1500;
-const sweepMs = 100;
+const sweepIntervalMs = 100;
 
-/** One upstream, as its agent last told. */
+/** An upstream with a valid lease, as last reported by its agent. */
 export interface LiveUpstream {
     readonly report: ReportRequest;
-    /** Date.now() at which the report came. */
+    /** `Date.now()` when the report arrived. */
     readonly heardAt: number;
-    /** Ids of models and adapters that are ready, for each accelerator. */
+    /** Ids of the ready models and adapters, by accelerator. */
     readonly ready: ReadonlyMap<string, ReadonlySet<string>>;
-    /** Date.now() at which the upstream was first heard to be leaving. */
+    /** `Date.now()` when the upstream was first reported as leaving. */
     readonly leavingSince: number | undefined;
 }
 
 export class Registrar {
-    /** Notified when an upstream comes, goes, or tells something new besides its load. */
+    /** Notified when an upstream joins, expires or reports a change other than its load. */
     public readonly changed = new Notifier();
     private readonly upstreams = new Map<string, LiveUpstream>();
-    private structureCount = 0;
+    private currentStructureVersion = 0;
 
     public constructor(private readonly timeline: Timeline) {}
 
-    /** Grows whenever `changed` is notified: what is derived from more than loads has to be made anew. */
+    /** Increases with every change other than of loads; used to invalidate derived data. */
     public get structure(): number {
-        return this.structureCount;
+        return this.currentStructureVersion;
     }
 
-    /** Upstreams with a lease, by name. */
+    /** All upstreams with a valid lease. */
     public live(): LiveUpstream[] {
         return [...this.upstreams.values()];
     }
@@ -40,36 +40,36 @@
         return this.upstreams.get(name);
     }
 
-    /** Takes in a report; one of an earlier incarnation or order changes nothing. */
+    /** Applies a report; ignores one of an earlier incarnation or with an earlier sequence number. */
     public take(report: ReportRequest): void {
-        const known = this.upstreams.get(report.upstream);
-        if (known !== undefined && !follows(report, known.report)) {
+        const current = this.upstreams.get(report.upstream);
+        if (current !== undefined && !supersedes(report, current.report)) {
             return;
         }
-        const same = known?.report.incarnation === report.incarnation ? known : undefined;
-        const leavingSince = report.leaving ? same?.leavingSince ?? Date.now() : undefined;
-        const next = { report, heardAt: Date.now(), ready: readyOf(report), leavingSince };
+        const sameIncarnation = current?.report.incarnation === report.incarnation ? current : undefined;
+        const leavingSince = report.leaving ? sameIncarnation?.leavingSince ?? Date.now() : undefined;
+        const next = { report, heardAt: Date.now(), ready: readyItems(report), leavingSince };
         this.upstreams.set(report.upstream, next);
-        if (same === undefined) {
+        if (sameIncarnation === undefined) {
             this.timeline.record("upstream.joined", { detail: `${report.upstream} at ${report.url}` });
         }
-        if (same === undefined || tellsNews(same.report, report)) {
-            this.noteChange();
+        if (sameIncarnation === undefined || hasStructuralChange(sameIncarnation.report, report)) {
+            this.notifyChange();
         }
     }
 
-    private noteChange(): void {
-        this.structureCount += 1;
+    private notifyChange(): void {
+        this.currentStructureVersion += 1;
         this.changed.notify();
     }
 
-    /** Takes upstreams out whose lease has run out, until the signal is aborted. */
+    /** Removes upstreams whose lease has expired, until the signal is aborted. */
     public async run(signal: AbortSignal): Promise<void> {
         let sweptAt = Date.now();
         while (!signal.aborted) {
-            await sleep(sweepMs, signal);
+            await sleep(sweepIntervalMs, signal);
             const now = Date.now();
-            // After a pause of this process itself, the reports that wait are heard first.
+            // If this process itself was suspended, pending reports are handled before leases expire.
             if (now - sweptAt < leaseMs) {
                 this.sweep(now);
             }
@@ -82,19 +82,19 @@
             if (now - upstream.heardAt > leaseMs) {
                 this.upstreams.delete(name);
                 this.timeline.record("lease.expired", { detail: name });
-                this.noteChange();
+                this.notifyChange();
             }
         }
     }
 }
 
-function follows(report: ReportRequest, known: ReportRequest): boolean {
+function supersedes(report: ReportRequest, known: ReportRequest): boolean {
     return report.incarnation === known.incarnation
         ? report.sequence > known.sequence
         : report.incarnation > known.incarnation;
 }
 
-function readyOf(report: ReportRequest): Map<string, Set<string>> {
+function readyItems(report: ReportRequest): Map<string, Set<string>> {
     const ready = new Map<string, Set<string>>();
     for (const resident of report.residents.filter(each => each.ready)) {
         const items = ready.get(resident.accelerator) ?? new Set();
@@ -103,12 +103,12 @@
     return ready;
 }
 
-function tellsNews(before: ReportRequest, after: ReportRequest): boolean {
+function hasStructuralChange(before: ReportRequest, after: ReportRequest): boolean {
     return before.leaving !== after.leaving || before.stateKnown !== after.stateKnown
         || before.settled?.index !== after.settled?.index || before.settled?.term !== after.settled?.term
-        || residentsText(before) !== residentsText(after);
+        || residentsKey(before) !== residentsKey(after);
 }
 
-function residentsText(report: ReportRequest): string {
+function residentsKey(report: ReportRequest): string {
     return report.residents.map(({ accelerator, item, ready }) => `${accelerator}/${item}/${ready}`).join();
 }
--- a/packages/upstream/src/reporters.ts
+++ b/packages/upstream/src/reporters.ts
@@ -1,83 +1,83 @@
-/** The tasks by which an agent announces its upstream: one for each control host. */
+/** Sends an agent's reports to every control host. */
 import { type Client } from "@connectrpc/connect";
 import { type Logger, logger, messageOf, Notifier } from "@winchpath/core";
 import { type RpcClients } from "@winchpath/rpc";
 import { RegistrarService, type ReportRequest, type ReportResponse } from "./gen/winchpath/upstream/v1/upstream_pb.js";
 
 const reportTimeoutMs = 1000;
-/** Reports whose times are kept: enough for the longest time in which a request is not yet late. */
-const keptTimes = 4096;
+/** Reports whose timestamps are retained; must cover the time after which a request is late. */
+const maxRetainedReports = 4096;
 
-/** Numbers the reports, and remembers when each was made. */
-export class ReportClock {
-    private newest = 0;
-    private readonly times: number[] = [];
+/** Assigns sequence numbers to reports and records when each was created. */
+export class ReportSequencer {
+    private latest = 0;
+    private readonly timestamps: number[] = [];
 
-    /** The number of a report that is made now. */
+    /** Returns the sequence number for a report created now. */
     public next(): number {
-        this.newest += 1;
-        this.times[this.newest % keptTimes] = Date.now();
-        return this.newest;
+        this.latest += 1;
+        this.timestamps[this.latest % maxRetainedReports] = Date.now();
+        return this.latest;
     }
 
-    /** Milliseconds since a report was made; infinite for one that is not known any more. */
+    /** Milliseconds since a report was created; infinite if its timestamp is not retained. */
     public ageOf(sequence: number): number {
-        const known = sequence > 0 && sequence <= this.newest && sequence > this.newest - keptTimes;
-        return known ? Date.now() - this.times[sequence % keptTimes] : Number.POSITIVE_INFINITY;
+        const isRetained = sequence > 0 && sequence <= this.latest && sequence > this.latest - maxRetainedReports;
+        return isRetained ? Date.now() - this.timestamps[sequence % maxRetainedReports] : Number.POSITIVE_INFINITY;
     }
 }
 
-/** What the reporter asks of its agent. */
+/** Creates the reports of a {@link Reporter} and handles the responses. */
 export interface ReportSource {
     report(): ReportRequest;
-    /** Takes in what a control host answered. */
-    answered(url: string, res: ReportResponse): void;
+    /** Handles a control host's response to a report. */
+    onResponse(url: string, res: ReportResponse): void;
 }
 
 export class Reporter {
-    private readonly peers = new Map<string, Notifier>();
+    private readonly triggers = new Map<string, Notifier>();
     private readonly log: Logger = logger("upstream");
 
     public constructor(
         private readonly clients: RpcClients,
         private readonly source: ReportSource,
-        private readonly reportMs: number,
+        private readonly intervalMs: number,
         private readonly signal: AbortSignal,
     ) {}
 
-    /** Reports to these control hosts, and to no others, from now on. */
+    /** Replaces the set of control hosts that are reported to. */
     public setPeers(urls: readonly string[]): void {
         for (const url of urls) {
-            if (!this.peers.has(url)) {
-                const wake = new Notifier();
-                this.peers.set(url, wake);
-                void this.run(url, wake);
+            if (!this.triggers.has(url)) {
+                const trigger = new Notifier();
+                this.triggers.set(url, trigger);
+                void this.run(url, trigger);
             }
         }
-        for (const [url, wake] of this.peers) {
+        for (const [url, trigger] of this.triggers) {
             if (!urls.includes(url)) {
-                this.peers.delete(url);
-                wake.notify();
+                this.triggers.delete(url);
+                trigger.notify();
             }
         }
     }
 
-    /** Something that others should know at once has changed. */
+    /** Sends a report to every control host without waiting for the interval. */
     public reportNow(): void {
-        this.peers.forEach(wake => wake.notify());
+        this.triggers.forEach(trigger => trigger.notify());
     }
 
-    private async run(url: string, wake: Notifier): Promise<void> {
-        while (!this.signal.aborted && this.peers.get(url) === wake) {
+    private async run(url: string, trigger: Notifier): Promise<void> {
+        while (!this.signal.aborted && this.triggers.get(url) === trigger) {
             await this.reportTo(this.clients.client(RegistrarService, url), url);
-            await wake.wait(this.reportMs);
+            await trigger.wait(this.intervalMs);
         }
     }
 
     private async reportTo(client: Client<typeof RegistrarService>, url: string): Promise<void> {
         try {
             const res = await client.report(this.source.report(), { timeoutMs: reportTimeoutMs });
-            this.source.answered(url, res);
+            this.source.onResponse(url, res);
         }
         catch (err) {
             this.log("report failed", { to: url, error: messageOf(err) });
--- a/packages/upstream/src/runners.ts
+++ b/packages/upstream/src/runners.ts
@@ -1,4 +1,4 @@
-/** Runs admitted requests at the upstream, and hands their answers to whoever reads them. */
+/** Runs requests at the upstream and streams the responses to their readers. */
 import { create } from "@bufbuild/protobuf";
 import { RestBook } from "@winchpath/availability";
 import { messageOf, Notifier, retryAfterMs, sleep, steadyNow } from "@winchpath/core";
@@ -15,15 +15,15 @@
     RunHeadSchema,
     type RunRequest,
 } from "./gen/winchpath/upstream/v1/upstream_pb.js";
-import { answerGone, refusedChunk, type RunRecord, type RunRefusal } from "./records.js";
+import { refusedChunk, responseNotRetained, type RunRecord, type RunRefusal } from "./records.js";
 import { leavingHeader, notStartedHeader } from "./schemas.js";
 import { RunTable } from "./tables.js";
-import { UpstreamEnds } from "./upstreamends.js";
+import { CrashTracker } from "./upstreamends.js";
 
-/** A request that may be cut off and that nobody reads any more is cut off after this time. */
-const orphanMs = 3000;
-/** Headers that concern one connection only. */
-const connectionHeaders = new Set([
+/** How long an idempotent request keeps running without readers before it is aborted. */
+const orphanTimeoutMs = 3000;
+/** Headers that apply to a single connection and are not forwarded. */
+const hopByHopHeaders = new Set([
     "connection",
     "keep-alive",
     "transfer-encoding",
@@ -37,58 +37,58 @@
     "expect",
 ]);
 
-/** Decides whether a request may begin here; undefined where it may. */
-export type Admission = (req: RunRequest) => RunRefusal | undefined;
+/** Returns why a request may not start, or undefined if it may. */
+export type AdmissionCheck = (req: RunRequest) => RunRefusal | undefined;
 
-/** A runner knows one upstream, so its book of rests has one name. */
-const beside = "the upstream beside the agent";
+/** Key of the backoff tracker's only entry: a runner serves one upstream. */
+const upstreamKey = "the agent's upstream";
 
 export class Runner {
     public readonly table = new RunTable();
     /** Notified when a request ends. */
-    public readonly ended: Notifier = this.table.ended;
-    private readonly ends: UpstreamEnds;
-    private readonly rests = new RestBook();
+    public readonly requestEnded: Notifier = this.table.ended;
+    private readonly crashes: CrashTracker;
+    private readonly backoffs = new RestBook();
 
     public constructor(
         private readonly upstream: Upstream,
-        private readonly admit: Admission,
+        private readonly admit: AdmissionCheck,
         private readonly timeline: Timeline,
-        /** Told when an answer says that the upstream leaves. */
+        /** Called when a response announces that the upstream is leaving. */
         private readonly onLeaving: () => void = () => undefined,
     ) {
-        this.ends = new UpstreamEnds(upstream);
+        this.crashes = new CrashTracker(upstream);
     }
 
-    /** Runs a request, or attaches to the attempt where it is known already. */
+    /** Runs a request, or attaches to its attempt if that is already known. */
     public async *run(req: RunRequest): AsyncGenerator<RunChunk> {
         let record = this.table.find(req.requestId, req.attempt);
         if (record === undefined) {
             if (req.attach) {
-                yield answerGone();
+                yield responseNotRetained();
                 return;
             }
-            const refused = this.admit(req) ?? this.refusalOfRest();
-            if (refused !== undefined) {
-                yield refusedChunk(refused);
+            const refusal = this.admit(req) ?? this.backoffRefusal();
+            if (refusal !== undefined) {
+                yield refusedChunk(refusal);
                 return;
             }
             record = this.table.begin(req.requestId, req.attempt, req.idempotent);
-            void this.pump(record, req);
+            void this.execute(record, req);
         }
         else if (record.outcome === FenceOutcome.NEVER) {
-            yield refusedChunk({ refusal: Refusal.FENCED, message: "this attempt was fenced off" });
+            yield refusedChunk({ refusal: Refusal.FENCED, message: "the attempt was fenced or refused earlier" });
             return;
         }
         try {
             yield* record.read(Number(req.offset));
         }
         finally {
-            void this.abandonLater(record);
+            void this.abortIfOrphaned(record);
         }
     }
 
-    /** The caller has left. What may not be repeated goes on to its end. */
+    /** Aborts an attempt whose caller has disconnected; a request that is not idempotent runs to its end. */
     public cancel(requestId: string, attempt: number): void {
         const record = this.table.find(requestId, attempt);
         if (record?.idempotent) {
@@ -96,31 +96,31 @@
         }
     }
 
-    private async abandonLater(record: RunRecord): Promise<void> {
-        if (!record.idempotent || record.endedAt !== undefined || record.readers > 0) {
+    private async abortIfOrphaned(record: RunRecord): Promise<void> {
+        if (!record.idempotent || record.endedAt !== undefined || record.readerCount > 0) {
             return;
         }
-        await sleep(orphanMs, record.abort.signal);
-        if (record.readers === 0) {
+        await sleep(orphanTimeoutMs, record.abort.signal);
+        if (record.readerCount === 0) {
             record.abort.abort();
         }
     }
 
-    /** The task of one attempt: from the upstream into the record. */
-    private async pump(record: RunRecord, req: RunRequest): Promise<void> {
+    /** Sends a request to the upstream and copies the response into the record. */
+    private async execute(record: RunRecord, req: RunRequest): Promise<void> {
         const timer = setTimeout(() => record.abort.abort(), req.timeoutMs);
         const timedOut = () => Date.now() >= deadline;
         const deadline = Date.now() + req.timeoutMs;
         const startedAt = steadyNow();
         try {
-            const answer = await this.upstream.send({
+            const response = await this.upstream.send({
                 method: req.method,
                 path: req.path,
-                headers: Object.fromEntries(req.headers.filter(mayPass).map(({ name, value }) => [name, value])),
+                headers: Object.fromEntries(req.headers.filter(isEndToEnd).map(({ name, value }) => [name, value])),
                 body: req.body,
                 signal: record.abort.signal,
             });
-            await this.receive(record, answer);
+            await this.receive(record, response);
         }
         catch (err) {
             await this.recordFailure(record, req, err, { startedAt, timedOut: timedOut() });
@@ -130,46 +130,50 @@
         }
     }
 
-    private async receive(record: RunRecord, answer: UpstreamAnswer): Promise<void> {
-        this.hear(answer);
-        if (answer.headers[notStartedHeader] !== undefined) {
-            const message = `the upstream did not start it (${answer.status})`;
-            this.table.refuse(record, this.refusalOfRest() ?? { refusal: refusalOf(answer.status), message });
-            await answer.discard();
+    private async receive(record: RunRecord, response: UpstreamAnswer): Promise<void> {
+        this.applySignals(response);
+        if (response.headers[notStartedHeader] !== undefined) {
+            const message = `the upstream did not start the request (status ${response.status})`;
+            this.table.refuse(record, this.backoffRefusal() ?? { refusal: refusalForStatus(response.status), message });
+            await response.discard();
             return;
         }
-        record.setHead(create(RunHeadSchema, { status: answer.status, headers: headersOf(answer.headers) }));
+        record.setHead(create(RunHeadSchema, { status: response.status, headers: toHeaders(response.headers) }));
         let bytes = 0;
-        for await (const chunk of answer.body) {
+        for await (const chunk of response.body) {
             bytes += chunk.length;
-            await record.push(chunk);
+            await record.append(chunk);
         }
         const end = create(RunEndSchema, { bodyBytes: BigInt(bytes) });
         record.finish(FenceOutcome.FINISHED, { end });
     }
 
-    /** Takes in what an answer says of the upstream itself. */
-    private hear({ status, headers }: UpstreamAnswer): void {
-        if (textOf(headers[leavingHeader]).trim() === "1") {
+    /** Applies the response headers that concern the upstream's own state: leaving and Retry-After. */
+    private applySignals({ status, headers }: UpstreamAnswer): void {
+        if (firstValue(headers[leavingHeader]).trim() === "1") {
             this.onLeaving();
         }
         const restMs = status === statusUnavailable
-            ? retryAfterMs(textOf(headers["retry-after"]), textOf(headers.date))
+            ? retryAfterMs(firstValue(headers["retry-after"]), firstValue(headers.date))
             : undefined;
         if (restMs !== undefined) {
-            this.rests.begin(beside, restMs);
+            this.backoffs.begin(upstreamKey, restMs);
             this.timeline.record("upstream.rests", { detail: `ms=${Math.round(restMs)}` });
         }
     }
 
-    /** Undefined where the upstream takes requests. */
-    private refusalOfRest(): RunRefusal | undefined {
-        const until = this.rests.untilOf(beside);
+    /** Returns the refusal during a backoff of the upstream, otherwise undefined. */
+    private backoffRefusal(): RunRefusal | undefined {
+        const until = this.backoffs.untilOf(upstreamKey);
         if (until === undefined) {
             return undefined;
         }
         const restMs = until - steadyNow();
-        return { refusal: Refusal.RESTING, message: `the upstream rests for ${restMs} ms`, restMs };
+        return {
+            refusal: Refusal.RESTING,
+            message: `the upstream accepts no requests for another ${restMs} ms`,
+            restMs,
+        };
     }
 
     private async recordFailure(
@@ -184,31 +188,31 @@
         }
         const message = messageOf(err);
         this.timeline.record("request.broken", { requestId: req.requestId, resource: req.resource, detail: message });
-        const cutHere = timedOut || record.abort.signal.aborted;
-        const upstreamEnd = cutHere ? "" : await this.ends.nameFor(startedAt);
+        const abortedByAgent = timedOut || record.abort.signal.aborted;
+        const upstreamEnd = abortedByAgent ? "" : await this.crashes.crashIdFor(startedAt);
         const broken = create(RunBrokenSchema, { message, timedOut, upstreamEnd });
         record.finish(FenceOutcome.BROKEN, { broken });
     }
 }
 
-function mayPass(header: Header): boolean {
-    return !connectionHeaders.has(header.name.toLowerCase());
+function isEndToEnd(header: Header): boolean {
+    return !hopByHopHeaders.has(header.name.toLowerCase());
 }
 
-function headersOf(headers: UpstreamAnswer["headers"]): Header[] {
+function toHeaders(headers: UpstreamAnswer["headers"]): Header[] {
     return Object.entries(headers).flatMap(([name, value]) => {
         const values = Array.isArray(value) ? value : value === undefined ? [] : [value];
-        return values.map(each => create(HeaderSchema, { name, value: each })).filter(mayPass);
+        return values.map(each => create(HeaderSchema, { name, value: each })).filter(isEndToEnd);
     });
 }
 
-function textOf(value: string | string[] | undefined): string {
+function firstValue(value: string | string[] | undefined): string {
     return (Array.isArray(value) ? value[0] : value) ?? "";
 }
 
 const statusNotFound = 404;
 const statusUnavailable = 503;
 
-function refusalOf(status: number): Refusal {
+function refusalForStatus(status: number): Refusal {
     return status === statusNotFound ? Refusal.NOT_RESIDENT : Refusal.OVERLOADED;
 }
--- a/packages/upstream/src/schemas.ts
+++ b/packages/upstream/src/schemas.ts
@@ -1,4 +1,4 @@
-/** The engine's protocol for state and orders, as JSON over HTTP. */
+/** The engine's protocol for state and orders: JSON over HTTP. */
 import Type, { type Static } from "typebox";
 
 export const FenceNumber = Type.Object({ term: Type.Integer(), index: Type.Integer() });
@@ -15,13 +15,13 @@
     load: Type.Object({
         running: Type.Integer(),
         waiting: Type.Integer(),
-        /** Milliseconds by which the figures lag. */
+        /** Age of these figures in milliseconds. */
         ageMs: Type.Integer(),
     }),
 });
 export type EngineState = Static<typeof EngineState>;
 
-/** `POST /engine/orders`; answered with 202, or 409 where the fencing number is old. */
+/** `POST /engine/orders`; the response is 202, or 409 for an outdated fencing token. */
 export const EngineOrder = Type.Object({
     fence: FenceNumber,
     kind: Type.Union([Type.Literal("load"), Type.Literal("unload"), Type.Literal("barrier")]),
@@ -31,7 +31,7 @@
 });
 export type EngineOrder = Static<typeof EngineOrder>;
 
-/** Header of an engine's or service's answer that says that the request was not started. */
+/** Response header by which an engine or service states that it did not start the request. */
 export const notStartedHeader = "winchpath-not-started";
-/** Header of any answer of an engine or service that leaves; its value is 1. */
+/** Response header, with value 1, by which an engine or service announces that it is leaving. */
 export const leavingHeader = "winchpath-leaving";
--- a/packages/upstream/src/services.ts
+++ b/packages/upstream/src/services.ts
@@ -1,4 +1,4 @@
-/** The RPCs of an agent, and those by which control hosts hear of upstreams. */
+/** RPC services of the agent and of the control hosts' registrar. */
 import { type ServiceImpl } from "@connectrpc/connect";
 import { type Agent } from "./agents.js";
 import {
@@ -22,11 +22,11 @@
             agent.runner.cancel(req.requestId, req.attempt);
             return {};
         },
-        order: async req => ({ outcome: await agent.gate.take(req) }),
+        order: async req => ({ outcome: await agent.orderGate.forward(req) }),
     };
 }
 
-/** What a control host tells an agent besides that it was heard. */
+/** Creates the response to an agent that knows declarations up to `knownRevision`. */
 export type ReportAnswer = (knownRevision: number) => Omit<ReportResponse, "$typeName" | "$unknown">;
 
 export function registrarService(registrar: Registrar, answer: ReportAnswer): ServiceImpl<typeof RegistrarService> {
--- a/packages/upstream/src/tables.ts
+++ b/packages/upstream/src/tables.ts
@@ -1,25 +1,25 @@
-/** All attempts that an agent remembers: running, finished, or fenced off before they came. */
+/** The attempts known to an agent: running, finished, or fenced before they arrived. */
 import { create } from "@bufbuild/protobuf";
 import { Notifier } from "@winchpath/core";
 import { FenceOutcome, RunRefusedSchema } from "./gen/winchpath/upstream/v1/upstream_pb.js";
 import { refusedChunk, RunRecord, type RunRefusal } from "./records.js";
 
-/** A request that was chosen longer ago than this is refused as late. */
+/** A request is refused as late if its upstream was chosen longer ago than this. */
 export const lateAfterMs = 10_000;
-/** How long an ended attempt or a tombstone is remembered: well beyond the time after which a copy is late. */
-export const rememberMs = 6 * lateAfterMs;
-const sweepMs = 1000;
-/** Bytes of ended answers that are kept in all. */
-const maxKeptBytes = 64 * 1024 * 1024;
+/** How long ended attempts and tombstones are retained; must exceed {@link lateAfterMs}, so that late copies are detected. */
+export const retentionMs = 6 * lateAfterMs;
+const sweepIntervalMs = 1000;
+/** Total bytes of ended responses that are retained. */
+const maxRetainedBytes = 64 * 1024 * 1024;
 
 export class RunTable {
     /** Notified when an attempt ends. */
     public readonly ended = new Notifier();
     private readonly records = new Map<string, RunRecord>();
     private runningCount = 0;
-    private sweptAt = 0;
+    private lastSweepAt = 0;
 
-    /** Attempts that run now. */
+    /** Number of running attempts. */
     public get running(): number {
         return this.runningCount;
     }
@@ -28,9 +28,9 @@
         return this.records.get(keyOf(requestId, attempt));
     }
 
-    /** Begins an attempt that is not in the table. */
+    /** Adds a running attempt, which must not be in the table yet. */
     public begin(requestId: string, attempt: number, idempotent: boolean): RunRecord {
-        this.forgetOld();
+        this.removeExpired();
         this.runningCount += 1;
         const record = new RunRecord(idempotent, () => {
             this.runningCount -= 1;
@@ -41,17 +41,16 @@
     }
 
     /**
-     * Tells what became of an attempt; one that never came is refused from now on.
-     * `chosenMsAgo`: the age of the report that its upstream was chosen by. An
-     * attempt that is not known, and that may have ended and been forgotten since,
-     * may have run.
+     * Returns an attempt's outcome. An unknown attempt gets a tombstone, so that it is refused should it still
+     * arrive. `reportAgeMs`: age of the report by which its upstream was chosen; if that exceeds the retention time,
+     * an unknown attempt may have run and been removed.
      */
-    public fence(requestId: string, attempt: number, chosenMsAgo: number): FenceOutcome {
-        const known = this.find(requestId, attempt);
-        if (known !== undefined) {
-            return known.outcome;
+    public fence(requestId: string, attempt: number, reportAgeMs: number): FenceOutcome {
+        const existing = this.find(requestId, attempt);
+        if (existing !== undefined) {
+            return existing.outcome;
         }
-        if (chosenMsAgo >= rememberMs) {
+        if (reportAgeMs >= retentionMs) {
             return FenceOutcome.FORGOTTEN;
         }
         const tombstone = this.begin(requestId, attempt, true);
@@ -59,40 +58,40 @@
         return FenceOutcome.NEVER;
     }
 
-    /** Ends an attempt that the upstream did not begin; the same attempt is refused later too. */
+    /** Ends an attempt that the upstream did not start; later copies of it are refused as well. */
     public refuse(record: RunRecord, refusal: RunRefusal): void {
         const { refused } = refusedChunk(refusal);
         record.finish(FenceOutcome.NEVER, { refused });
     }
 
-    /** Cuts off what is still running. */
+    /** Aborts all running attempts. */
     public abortAll(): void {
         this.records.forEach(record => record.abort.abort());
     }
 
-    /** Drops what can't matter any more, then whole answers, oldest first, above the limit. */
-    private forgetOld(): void {
-        if (Date.now() - this.sweptAt < sweepMs) {
+    /** Removes expired attempts, then drops responses, oldest first, until the size limit is met. */
+    private removeExpired(): void {
+        if (Date.now() - this.lastSweepAt < sweepIntervalMs) {
             return;
         }
-        this.sweptAt = Date.now();
-        const horizon = this.sweptAt - rememberMs;
-        let kept = 0;
+        this.lastSweepAt = Date.now();
+        const cutoff = this.lastSweepAt - retentionMs;
+        let retained = 0;
         for (const [key, record] of this.records) {
-            if (record.endedAt !== undefined && record.endedAt < horizon) {
+            if (record.endedAt !== undefined && record.endedAt < cutoff) {
                 this.records.delete(key);
             }
             else if (record.endedAt !== undefined) {
-                kept += record.keptBytes;
+                retained += record.retainedBytes;
             }
         }
         for (const record of this.records.values()) {
-            if (kept <= maxKeptBytes) {
+            if (retained <= maxRetainedBytes) {
                 return;
             }
             if (record.endedAt !== undefined) {
-                kept -= record.keptBytes;
-                record.dropAnswer();
+                retained -= record.retainedBytes;
+                record.dropResponse();
             }
         }
     }
--- a/packages/upstream/src/tests/agents.test.ts
+++ b/packages/upstream/src/tests/agents.test.ts
@@ -24,7 +24,7 @@
 concurrency = 1
 `;
 
-const silentUpstream: Upstream = {
+const unresponsiveUpstream: Upstream = {
     readState: async () => undefined,
     order: async () => "taken",
     send: () => new Promise(() => undefined),
@@ -38,13 +38,15 @@
     const clients = new RpcClients({ key: undefined, timeline });
     const agent = new Agent({
         cfg: parseSettings(settings, "/").unwrap(),
-        upstream: silentUpstream,
+        upstream: unresponsiveUpstream,
         clients,
         timeline,
     });
     let number = 0;
-    /** The refusal that a request gets, or undefined where it begins. */
-    const ask = async (changes: MessageInitShape<typeof RunRequestSchema> = {}): Promise<Refusal | undefined> => {
+    /** Returns why a request was refused, or undefined if it was started. */
+    const sendRequest = async (
+        changes: MessageInitShape<typeof RunRequestSchema> = {},
+    ): Promise<Refusal | undefined> => {
         number += 1;
         const common = { requestId: `r${number}`, attempt: 1, incarnation: agent.incarnation, timeoutMs: 60_000 };
         const req = create(
@@ -58,51 +60,51 @@
         ]);
         return first?.value?.refused?.refusal;
     };
-    return { agent, ask };
+    return { agent, sendRequest };
 }
 
 describe("Agent", () => {
-    it("refuses work of an entry that acts on an older revision, and tells the newer", async t => {
-        const { agent, ask } = setUp(t);
+    it("refuses a request of an entry that uses an outdated revision", async t => {
+        const { agent, sendRequest } = setUp(t);
         const resources = [{
             $typeName: "winchpath.upstream.v1.ResourceRevision" as const,
             name: "booking-api",
             revision: 7n,
         }];
         const answer = { revision: 7n, term: 1n, resources, member: "m", voters: 3, voter: true, members: [] };
-        agent.answered("http://e", { $typeName: "winchpath.upstream.v1.ReportResponse", ...answer });
-        expect(await ask({ resource: "booking-api", revision: 6n })).toEqual(Refusal.STALE_REVISION);
-        expect(await ask({ resource: "booking-api", revision: 7n })).toEqual(undefined);
+        agent.onResponse("http://e", { $typeName: "winchpath.upstream.v1.ReportResponse", ...answer });
+        expect(await sendRequest({ resource: "booking-api", revision: 6n })).toEqual(Refusal.STALE_REVISION);
+        expect(await sendRequest({ resource: "booking-api", revision: 7n })).toEqual(undefined);
     });
 
-    it("refuses a request that was chosen long ago, as by an entry that was frozen in between", async t => {
-        const { agent, ask } = setUp(t);
+    it("refuses a late request, such as one of an entry that was suspended", async t => {
+        const { agent, sendRequest } = setUp(t);
         const seenReport = agent.report().sequence;
         t.mock.timers.tick(lateAfterMs);
-        expect(await ask({ seenReport })).toEqual(undefined);
+        expect(await sendRequest({ seenReport })).toEqual(undefined);
         t.mock.timers.tick(1);
-        expect(await ask({ seenReport })).toEqual(Refusal.LATE);
+        expect(await sendRequest({ seenReport })).toEqual(Refusal.LATE);
     });
 
-    it("refuses a request that was meant for an earlier incarnation, or saw no report of this one", async t => {
-        const { ask } = setUp(t);
-        expect(await ask({ incarnation: "before" })).toEqual(Refusal.INCARNATION);
-        expect(await ask({ seenReport: 0n })).toEqual(Refusal.LATE);
-        expect(await ask({ seenReport: 99n })).toEqual(Refusal.LATE);
+    it("refuses a request for an earlier incarnation, or one based on an unknown report", async t => {
+        const { sendRequest } = setUp(t);
+        expect(await sendRequest({ incarnation: "before" })).toEqual(Refusal.INCARNATION);
+        expect(await sendRequest({ seenReport: 0n })).toEqual(Refusal.LATE);
+        expect(await sendRequest({ seenReport: 99n })).toEqual(Refusal.LATE);
     });
 
-    it("takes work for a short grace once it leaves, and none after", async t => {
-        const { agent, ask } = setUp(t);
+    it("accepts requests for a grace period after it starts leaving, then refuses them", async t => {
+        const { agent, sendRequest } = setUp(t);
         const left = agent.leave(60_000);
-        expect(await ask()).toEqual(undefined);
+        expect(await sendRequest()).toEqual(undefined);
         t.mock.timers.tick(1501);
-        expect(await ask()).toEqual(Refusal.LEAVING);
+        expect(await sendRequest()).toEqual(Refusal.LEAVING);
         void left;
     });
 
-    it("refuses what is far over its upstream's capacity", async t => {
-        const { ask } = setUp(t);
-        const answers = await Promise.all(Array.from({ length: 9 }, () => ask()));
+    it("refuses requests far beyond its upstream's capacity", async t => {
+        const { sendRequest } = setUp(t);
+        const answers = await Promise.all(Array.from({ length: 9 }, () => sendRequest()));
         expect(answers.filter(answer => answer === undefined).length).toEqual(8);
         expect(answers.at(-1)).toEqual(Refusal.OVERLOADED);
     });
--- a/packages/upstream/src/tests/registrars.test.ts
+++ b/packages/upstream/src/tests/registrars.test.ts
@@ -4,7 +4,7 @@
 import { describe, it } from "node:test";
 import { leaseMs, Registrar, type ReportRequest, ReportRequestSchema } from "../index.js";
 
-function report(changes: MessageInitShape<typeof ReportRequestSchema>): ReportRequest {
+function createReport(changes: MessageInitShape<typeof ReportRequestSchema>): ReportRequest {
     return create(ReportRequestSchema, { upstream: "u", incarnation: "2", sequence: 5n, ...changes } as ReportRequest);
 }
 
@@ -13,20 +13,20 @@
 }
 
 describe("Registrar", () => {
-    it("keeps the newer incarnation, and the newest report of it", () => {
+    it("keeps the newest incarnation's newest report", () => {
         const registrar = newRegistrar();
-        registrar.take(report({}));
-        registrar.take(report({ incarnation: "1", sequence: 9n }));
-        registrar.take(report({ sequence: 4n, leaving: true }));
+        registrar.take(createReport({}));
+        registrar.take(createReport({ incarnation: "1", sequence: 9n }));
+        registrar.take(createReport({ sequence: 4n, leaving: true }));
         expect(registrar.find("u")!.report.sequence).toEqual(5n);
-        registrar.take(report({ incarnation: "3", sequence: 1n }));
+        registrar.take(createReport({ incarnation: "3", sequence: 1n }));
         expect(registrar.find("u")!.report.incarnation).toEqual("3");
     });
 
-    it("counts a model ready only with the engine's word, for each accelerator", () => {
+    it("lists a model as ready only on accelerators where the engine reports it ready", () => {
         const registrar = newRegistrar();
         const resident = { $typeName: "winchpath.upstream.v1.Resident" as const, bytes: 1n };
-        registrar.take(report({
+        registrar.take(createReport({
             residents: [
                 { ...resident, accelerator: "a0", item: "m@1", ready: true },
                 { ...resident, accelerator: "a1", item: "n@1", ready: false },
@@ -37,11 +37,11 @@
         expect(ready.get("a1")).toEqual(undefined);
     });
 
-    it("takes an upstream out when its lease has run out, and not after a pause of its own", async t => {
+    it("removes an upstream whose lease has expired, but not right after a suspension of its own process", async t => {
         t.mock.timers.enable({ apis: ["setTimeout", "Date"] });
         const registrar = newRegistrar();
         const stop = new AbortController();
-        registrar.take(report({}));
+        registrar.take(createReport({}));
         const running = registrar.run(stop.signal);
         const pass = async (ms: number) => {
             t.mock.timers.tick(ms);
--- a/packages/upstream/src/tests/runners.test.ts
+++ b/packages/upstream/src/tests/runners.test.ts
@@ -5,7 +5,7 @@
 import {
     FenceOutcome,
     Refusal,
-    rememberMs,
+    retentionMs,
     type RunChunk,
     Runner,
     type RunRequest,
@@ -15,9 +15,9 @@
 
 const timeline = new Timeline({ process: "agent/t", host: "t", dataCentre: "d" });
 
-/** An upstream that gives so many kibibytes, and counts how far it was read. */
-class Fountain implements Upstream {
-    public given = 0;
+/** An upstream that streams a response of the given size and counts the chunks that were read. */
+class StreamingUpstream implements Upstream {
+    public chunksRead = 0;
     public runs = 0;
     public aborted = false;
 
@@ -45,7 +45,7 @@
 
     private async *body() {
         for (let number = 0; number < this.kibibytes; number++) {
-            this.given += 1;
+            this.chunksRead += 1;
             yield Buffer.alloc(1024, number % 256);
         }
     }
@@ -71,8 +71,8 @@
 }
 
 describe("Runner", () => {
-    it("holds the upstream back while its reader is slow", async () => {
-        const upstream = new Fountain(4096);
+    it("applies backpressure to the upstream while a reader is slow", async () => {
+        const upstream = new StreamingUpstream(4096);
         const runner = new Runner(upstream, () => undefined, timeline);
         const reader = runner.run(request());
         await reader.next();
@@ -80,21 +80,21 @@
         for (let turn = 0; turn < 50; turn++) {
             await new Promise(resolve => setImmediate(resolve));
         }
-        expect(upstream.given <= 300).toEqual(true);
+        expect(upstream.chunksRead <= 300).toEqual(true);
         const rest = await collect(reader);
         expect(rest.at(-1)?.end === undefined).toEqual(false);
     });
 
-    it("runs an attempt once, however often it comes, and gives all the whole answer", async () => {
-        const upstream = new Fountain(20);
+    it("runs a duplicated attempt once and returns the complete response to each reader", async () => {
+        const upstream = new StreamingUpstream(20);
         const runner = new Runner(upstream, () => undefined, timeline);
         const answers = await Promise.all([1, 2, 3].map(() => collect(runner.run(request()))));
         expect(answers.map(bytesOf)).toEqual([20_480, 20_480, 20_480]);
         expect(upstream.runs).toEqual(1);
     });
 
-    it("goes on from an offset, and never starts for one that only attaches", async () => {
-        const upstream = new Fountain(20);
+    it("resumes from an offset, and never starts a request that only attaches", async () => {
+        const upstream = new StreamingUpstream(20);
         const runner = new Runner(upstream, () => undefined, timeline);
         const [unknown] = await collect(runner.run(request({ attach: true })));
         expect(unknown.refused?.refusal).toEqual(Refusal.UNKNOWN_REQUEST);
@@ -103,8 +103,8 @@
         expect(upstream.runs).toEqual(1);
     });
 
-    it("refuses an attempt that was fenced before it came", async () => {
-        const upstream = new Fountain(1);
+    it("refuses an attempt that was fenced before it arrived", async () => {
+        const upstream = new StreamingUpstream(1);
         const runner = new Runner(upstream, () => undefined, timeline);
         expect(runner.table.fence("r", 1, 0)).toEqual(FenceOutcome.NEVER);
         const [late] = await collect(runner.run(request()));
@@ -112,15 +112,15 @@
         expect(upstream.runs).toEqual(0);
     });
 
-    it("does not say of a fenced attempt that it never came, where it may have been forgotten", () => {
-        const runner = new Runner(new Fountain(1), () => undefined, timeline);
-        expect(runner.table.fence("r", 1, rememberMs - 1)).toEqual(FenceOutcome.NEVER);
-        expect(runner.table.fence("s", 1, rememberMs)).toEqual(FenceOutcome.FORGOTTEN);
+    it("reports an unknown attempt as forgotten once its record may have expired", () => {
+        const runner = new Runner(new StreamingUpstream(1), () => undefined, timeline);
+        expect(runner.table.fence("r", 1, retentionMs - 1)).toEqual(FenceOutcome.NEVER);
+        expect(runner.table.fence("s", 1, retentionMs)).toEqual(FenceOutcome.FORGOTTEN);
     });
 
-    it("cuts off what may be repeated when the caller leaves, and nothing else", async () => {
+    it("aborts only idempotent requests when the caller disconnects", async () => {
         for (const idempotent of [true, false]) {
-            const upstream = new Fountain(4096);
+            const upstream = new StreamingUpstream(4096);
             const runner = new Runner(upstream, () => undefined, timeline);
             const reader = runner.run(request({ idempotent }));
             await reader.next();
--- a/packages/upstream/src/tests/signals.test.ts
+++ b/packages/upstream/src/tests/signals.test.ts
@@ -6,8 +6,8 @@
 
 const timeline = new Timeline({ process: "agent/t", host: "t", dataCentre: "d" });
 
-/** Answers each request with the status and headers that a test sets. */
-class AnsweringUpstream implements Upstream {
+/** Responds to each request with the status and headers set by the test. */
+class FakeUpstream implements Upstream {
     public runs = 0;
     public status = 200;
     public headers: Record<string, string> = {};
@@ -22,7 +22,7 @@
 
     public async send() {
         this.runs += 1;
-        return { status: this.status, headers: this.headers, body: noBytes(), discard: async () => undefined };
+        return { status: this.status, headers: this.headers, body: emptyBody(), discard: async () => undefined };
     }
 
     public async hasEnded() {
@@ -32,14 +32,14 @@
     public async close() {}
 }
 
-async function* noBytes(): AsyncGenerator<Uint8Array> {}
+async function* emptyBody(): AsyncGenerator<Uint8Array> {}
 
-describe("an agent, of what its upstream's answers say,", () => {
+describe("signals in an upstream's responses", () => {
     beforeEach(() => mock.timers.enable({ apis: ["Date"], now: 1_000_000 }));
     afterEach(() => mock.timers.reset());
 
     let requests = 0;
-    async function ask(runner: Runner) {
+    async function sendRequest(runner: Runner) {
         requests += 1;
         const req = create(RunRequestSchema, { requestId: `r${requests}`, attempt: 1, timeoutMs: 10_000 });
         for await (const chunk of runner.run(req)) {
@@ -50,52 +50,52 @@
         return undefined;
     }
 
-    it("sends nothing in a rest, and tells entries for how long it lasts", async () => {
-        const upstream = new AnsweringUpstream();
+    it("start a backoff, in which no requests are sent and entries are told the remaining time", async () => {
+        const upstream = new FakeUpstream();
         const runner = new Runner(upstream, () => undefined, timeline);
         upstream.status = 503;
         upstream.headers = { [notStartedHeader]: "1", "retry-after": "3" };
-        const first = await ask(runner);
+        const first = await sendRequest(runner);
         expect([first?.refusal, first?.restMs]).toEqual([Refusal.RESTING, 3000]);
         mock.timers.tick(2000);
-        const second = await ask(runner);
+        const second = await sendRequest(runner);
         expect([second?.refusal, second?.restMs, upstream.runs]).toEqual([Refusal.RESTING, 1000, 1]);
         mock.timers.tick(1000);
         upstream.status = 200;
         upstream.headers = {};
-        expect([await ask(runner), upstream.runs]).toEqual([undefined, 2]);
+        expect([await sendRequest(runner), upstream.runs]).toEqual([undefined, 2]);
     });
 
-    it("also in a rest that comes with an answer that was handed on", async () => {
-        const upstream = new AnsweringUpstream();
+    it("start a backoff also if the response was forwarded to the caller", async () => {
+        const upstream = new FakeUpstream();
         const runner = new Runner(upstream, () => undefined, timeline);
         upstream.status = 503;
         upstream.headers = { "retry-after": "3" };
-        expect(await ask(runner)).toEqual(undefined);
-        expect([(await ask(runner))?.refusal, upstream.runs]).toEqual([Refusal.RESTING, 1]);
+        expect(await sendRequest(runner)).toEqual(undefined);
+        expect([(await sendRequest(runner))?.refusal, upstream.runs]).toEqual([Refusal.RESTING, 1]);
     });
 
-    it("takes no rest from other statuses, or from a time that can't be read", async () => {
-        const upstream = new AnsweringUpstream();
+    it("start no backoff with other statuses or an invalid Retry-After header", async () => {
+        const upstream = new FakeUpstream();
         const runner = new Runner(upstream, () => undefined, timeline);
         for (const [status, value] of [[429, "3"], [200, "3"], [503, "soon"], [503, "-2"]] as const) {
             upstream.status = status;
             upstream.headers = { "retry-after": value };
-            await ask(runner);
+            await sendRequest(runner);
         }
         expect(upstream.runs).toEqual(4);
     });
 
-    it("tells that it leaves, whatever the status", async () => {
-        const upstream = new AnsweringUpstream();
+    it("announce that the upstream is leaving, with any status", async () => {
+        const upstream = new FakeUpstream();
         let told = 0;
         const runner = new Runner(upstream, () => undefined, timeline, () => told += 1);
-        await ask(runner);
+        await sendRequest(runner);
         expect(told).toEqual(0);
         upstream.headers = { [leavingHeader]: "1" };
         for (const status of [200, 500, 503]) {
             upstream.status = status;
-            await ask(runner);
+            await sendRequest(runner);
         }
         expect(told).toEqual(3);
     });
--- a/packages/upstream/src/upstreamends.ts
+++ b/packages/upstream/src/upstreamends.ts
@@ -1,18 +1,18 @@
-/** Gives one name to all that is told of one end of the upstream. */
+/** Assigns one id to all requests that were interrupted by the same crash of the upstream. */
 import { newIdentity, steadyNow } from "@winchpath/core";
 import { type Upstream } from "./engines.js";
 
-export class UpstreamEnds {
-    /** `at`: steady time at which it was first noticed. */
+export class CrashTracker {
+    /** The latest crash; `at` is the steady time at which it was detected. */
     private current: { readonly name: string; readonly at: number; } | undefined;
 
     public constructor(private readonly upstream: Pick<Upstream, "hasEnded">) {}
 
     /**
-     * Name of the end under which a request was broken off just now; empty where the upstream lives. A request that
-     * began no sooner than the last known end was broken off by another one, however soon the upstream was back.
+     * Returns the id of the crash that has just interrupted a request, or an empty string if the upstream is running.
+     * A request that started after the latest known crash was interrupted by a new one.
      */
-    public async nameFor(startedAt: number): Promise<string> {
+    public async crashIdFor(startedAt: number): Promise<string> {
         if (!await this.upstream.hasEnded()) {
             return "";
         }
