--- a/packages/operators/src/changes.ts
+++ b/packages/operators/src/changes.ts
@@ -1,13 +1,13 @@
-/** Checks a change, and has the control group accept it. */
+/** Validates changes and commits them through the control group. */
 import { encodeCommand, type Replica } from "@winchpath/consensus";
 import { type Issue } from "@winchpath/core";
 import { type Change, type ChangeItem, type ChangeResult, checkSpec, Declarations } from "@winchpath/declarations";
 
 const proposeTimeoutMs = 10_000;
 
-/** Commits a change; the specs are checked first, so that no bad one gets into the log. */
+/** Commits a change. Specs are validated first, so that invalid ones never enter the replicated log. */
 export async function commitChange(replica: Replica, change: Change): Promise<ChangeResult> {
-    const checked = checkItems(change.items);
+    const checked = validateItems(change.items);
     if (checked.tag === "refused") {
         return checked;
     }
@@ -16,9 +16,9 @@
     return JSON.parse(Buffer.from(result).toString()) as ChangeResult;
 }
 
-/** What a change would give, without making it. */
-export function tryChange(declarations: Declarations, change: Change): ChangeResult {
-    const checked = checkItems(change.items);
+/** Returns the result that a change would have, without committing it. */
+export function dryRunChange(declarations: Declarations, change: Change): ChangeResult {
+    const checked = validateItems(change.items);
     if (checked.tag === "refused") {
         return checked;
     }
@@ -27,13 +27,13 @@
     return copy.apply({ ...change, items: checked.items }, { index: declarations.revision + 1 });
 }
 
-type Checked =
+type ValidatedItems =
     | { readonly tag: "checked"; readonly items: ChangeItem[]; }
     | Extract<ChangeResult, { tag: "refused"; }>;
 
-function checkItems(items: readonly ChangeItem[]): Checked {
+function validateItems(items: readonly ChangeItem[]): ValidatedItems {
     const issues: Issue[] = [];
-    const checked = items.map((item, index): ChangeItem => {
+    const validated = items.map((item, index): ChangeItem => {
         if (item.op === "delete") {
             return item;
         }
@@ -47,5 +47,5 @@
     if (issues.length > 0) {
         return { tag: "refused", issues: issues.map(issue => ({ ...issue, path: [...issue.path] })) };
     }
-    return { tag: "checked", items: checked };
+    return { tag: "checked", items: validated };
 }
--- a/packages/operators/src/openapi.ts
+++ b/packages/operators/src/openapi.ts
@@ -1,4 +1,4 @@
-/** The OpenAPI description, made of the schemas that check the messages. */
+/** OpenAPI document, built from the schemas that validate requests. */
 import { ChangeResult, kinds, Resource, specSchemas } from "@winchpath/declarations";
 import { ChangeRequest, PutRequest, ResourceList, Status, WatchLine } from "./schemas.js";
 
@@ -6,7 +6,6 @@
 
 type SchemaName = keyof typeof schemas;
 
-/** The description as a JSON value. */
 export function openApiDocument() {
     const kindParameter = pathParameter("kind", { enum: kinds.map(kind => `${kind.toLowerCase()}s`) });
     const nameParameter = pathParameter("name", {});
@@ -39,7 +38,7 @@
     };
 }
 
-function operation(summary: string, answer: SchemaName, parameters: unknown[], body?: SchemaName) {
+function operation(summary: string, response: SchemaName, parameters: unknown[], body?: SchemaName) {
     const content = (name: SchemaName) => ({
         "application/json": { schema: { $ref: `#/components/schemas/${name}` } },
     });
@@ -48,7 +47,7 @@
         parameters,
         ...(body === undefined ? {} : { requestBody: { required: true, content: content(body) } }),
         responses: {
-            200: { description: summary, content: content(answer) },
+            200: { description: summary, content: content(response) },
             default: { description: "Problem details with issues" },
         },
     };
--- a/packages/operators/src/schemas.ts
+++ b/packages/operators/src/schemas.ts
@@ -1,4 +1,4 @@
-/** Messages of the operators' interface; the command line uses the same. */
+/** Messages of the operators' HTTP interface, shared with the command line. */
 import { Change, ChangeResult, Kind, Resource } from "@winchpath/declarations";
 import Type, { type Static } from "typebox";
 
@@ -10,7 +10,7 @@
 export const PutRequest = Type.Object({
     changeId: Type.String({ minLength: 1, maxLength: 100 }),
     operator: Type.String({ minLength: 1, maxLength: 100 }),
-    /** Version that the change builds on; 0 for a resource that is new. */
+    /** Version of the resource that the change is based on; 0 for a new resource. */
     baseVersion: Type.Integer({ minimum: 0 }),
     spec: Type.Unknown(),
 }, { additionalProperties: false });
@@ -24,7 +24,7 @@
 export const ResourceList = Type.Object({ revision: Type.Integer(), items: Type.Array(Resource) });
 export type ResourceList = Static<typeof ResourceList>;
 
-/** A line of the watch: everything as of a revision first, then each change. */
+/** A line of the watch stream: first a snapshot as of a revision, then one line per change. */
 export const WatchLine = Type.Union([
     Type.Object({ type: Type.Literal("snapshot"), revision: Type.Integer(), items: Type.Array(Resource) }),
     Type.Object({ type: Type.Literal("put"), revision: Type.Integer(), resource: Resource }),
@@ -32,11 +32,11 @@
 ]);
 export type WatchLine = Static<typeof WatchLine>;
 
-/** What one declared model has, and what keeps it from having more. */
+/** Replicas of a declared model, and why some are missing. */
 export const ModelStatus = Type.Object({
     name: Type.String(),
     version: Type.String(),
-    /** Ready means with all adapters, at the declared version. */
+    /** A replica is ready if it has the declared version and all adapters loaded. */
     condition: Type.Union([
         Type.Literal("ready"),
         Type.Literal("progressing"),
@@ -58,7 +58,7 @@
     dataCentre: Type.String(),
     url: Type.String(),
     leaving: Type.Boolean(),
-    /** Newest revision that its agent knows. */
+    /** Newest revision known to its agent. */
     revision: Type.Integer(),
     running: Type.Integer(),
     waiting: Type.Integer(),
@@ -67,7 +67,7 @@
 });
 export type UpstreamStatus = Static<typeof UpstreamStatus>;
 
-export const MemberView = Type.Object({
+export const MemberStatus = Type.Object({
     host: Type.String(),
     url: Type.String(),
     role: Type.String(),
@@ -75,16 +75,16 @@
     term: Type.Integer(),
     appliedIndex: Type.Integer(),
 });
-export type MemberView = Static<typeof MemberView>;
+export type MemberStatus = Static<typeof MemberStatus>;
 
 export const Status = Type.Object({
     revision: Type.Integer(),
     leader: Type.String(),
-    members: Type.Array(MemberView),
+    members: Type.Array(MemberStatus),
     upstreams: Type.Array(UpstreamStatus),
     models: Type.Array(ModelStatus),
     services: Type.Array(Type.Object({ name: Type.String(), upstreams: Type.Integer() })),
-    /** Processes in which the newest revision is not in force yet. */
+    /** Processes that have not applied the newest revision yet. */
     behind: Type.Array(Type.String()),
 });
 export type Status = Static<typeof Status>;
--- a/packages/operators/src/servers.ts
+++ b/packages/operators/src/servers.ts
@@ -1,4 +1,4 @@
-/** The operators' HTTP interface, with health checks and metrics. */
+/** HTTP server for operators, with health checks and metrics. */
 import { type TypeBoxTypeProvider } from "@fastify/type-provider-typebox";
 import { Failure, FailureCode, messageOf, type Metrics } from "@winchpath/core";
 import { type ChangeItem, type ChangeResult, type Declarations, type Kind, kinds } from "@winchpath/declarations";
@@ -7,58 +7,58 @@
 import fastify, { type FastifyReply } from "fastify";
 import { Readable } from "node:stream";
 import Type from "typebox";
-import { commitChange, tryChange } from "./changes.js";
-import { gatherEvents } from "./gathers.js";
+import { commitChange, dryRunChange } from "./changes.js";
+import { collectEvents } from "./gathers.js";
 import { openApiDocument } from "./openapi.js";
 import { ChangeRequest, DeleteQuery, PutRequest } from "./schemas.js";
-import { statusOf, type StatusParts } from "./statuses.js";
+import { collectStatus, type StatusSources } from "./statuses.js";
 import { watchLines } from "./watches.js";
 
 const readTimeoutMs = 2000;
 const problemType = "application/problem+json";
 
-export interface OperatorOptions extends StatusParts {
+export interface OperatorServerOptions extends StatusSources {
     readonly declarations: Declarations;
     readonly clients: RpcClients;
     readonly metrics: Metrics;
-    /** Key that operators have to show; undefined only where settings say so. */
+    /** Bearer token required of operators; undefined disables authentication. */
     readonly key: string | undefined;
-    /** Empty where the process is ready for callers, otherwise why it is not. */
+    /** Why the process is not ready; empty if it is ready. */
     readonly unready: () => string;
 }
 
-/** "models" for "Model". */
-export function pluralOf(kind: Kind): string {
+/** Plural of a kind in URL paths, such as "models" for "Model". */
+export function pluralName(kind: Kind): string {
     return `${kind.toLowerCase()}s`;
 }
 
-const KindPath = Type.Object({ kind: Type.Union(kinds.map(kind => Type.Literal(pluralOf(kind)))) });
+const KindPath = Type.Object({ kind: Type.Union(kinds.map(kind => Type.Literal(pluralName(kind)))) });
 const ResourcePath = Type.Object({ ...KindPath.properties, name: Type.String() });
 
-/** Builds the operators' server; it is not listening yet. */
-export function operatorServer(options: OperatorOptions) {
-    const app = newApp();
+/** Creates the server; the caller starts listening. */
+export function createOperatorServer(options: OperatorServerOptions) {
+    const app = createApp();
     app.setErrorHandler((err, _req, reply) => sendError(reply, err));
     app.addHook("onRequest", async req => {
-        const open = !req.url.startsWith("/apis/");
-        if (!open && options.key !== undefined && !sameSecret(req.headers.authorization, `Bearer ${options.key}`)) {
+        const isPublic = !req.url.startsWith("/apis/");
+        if (!isPublic && options.key !== undefined && !sameSecret(req.headers.authorization, `Bearer ${options.key}`)) {
             throw Failure.of(FailureCode.unauthenticated, "the operators' key is missing or wrong");
         }
     });
-    addHealth(app, options);
-    addResources(app, options);
-    addChanges(app, options);
-    addViews(app, options);
+    addHealthRoutes(app, options);
+    addResourceRoutes(app, options);
+    addChangeRoutes(app, options);
+    addStatusRoutes(app, options);
     return app;
 }
 
-type App = ReturnType<typeof newApp>;
+type App = ReturnType<typeof createApp>;
 
-function newApp() {
+function createApp() {
     return fastify({ forceCloseConnections: "idle" }).withTypeProvider<TypeBoxTypeProvider>();
 }
 
-function addHealth(app: App, options: OperatorOptions): void {
+function addHealthRoutes(app: App, options: OperatorServerOptions): void {
     app.get("/healthz", () => ({ status: "alive" }));
     app.get("/readyz", (_req, reply) => {
         const reason = options.unready();
@@ -68,33 +68,33 @@
     app.get("/openapi.json", () => openApiDocument());
 }
 
-/** Reads go through a majority: an operator never builds on what a cut-off host still believes. */
-function addResources(app: App, { declarations, replica }: OperatorOptions): void {
+/** Reads are linearizable, so that operators never see stale declarations from a partitioned host. */
+function addResourceRoutes(app: App, { declarations, replica }: OperatorServerOptions): void {
     app.get("/apis/v1/:kind", { schema: { params: KindPath } }, async req => {
         await replica.barrier(readTimeoutMs);
-        return { revision: declarations.revision, items: declarations.list(kindOf(req.params.kind)) };
+        return { revision: declarations.revision, items: declarations.list(kindFromPlural(req.params.kind)) };
     });
     app.get("/apis/v1/:kind/:name", { schema: { params: ResourcePath } }, async req => {
         await replica.barrier(readTimeoutMs);
         const { kind, name } = req.params;
-        const resource = declarations.get(kindOf(kind), name);
+        const resource = declarations.get(kindFromPlural(kind), name);
         if (resource === undefined) {
-            throw Failure.of(FailureCode.notFound, `there is no ${kindOf(kind)} ${name}`);
+            throw Failure.of(FailureCode.notFound, `there is no ${kindFromPlural(kind)} ${name}`);
         }
         return resource;
     });
 }
 
-function addChanges(app: App, options: OperatorOptions): void {
+function addChangeRoutes(app: App, options: OperatorServerOptions): void {
     const { replica, declarations } = options;
     app.post("/apis/v1/changes", { schema: { body: ChangeRequest } }, async (req, reply) => {
         const { dryRun, ...change } = req.body;
-        const result = dryRun ? tryChange(declarations, change) : await commitChange(replica, change);
+        const result = dryRun ? dryRunChange(declarations, change) : await commitChange(replica, change);
         return sendResult(reply, result);
     });
     app.put("/apis/v1/:kind/:name", { schema: { params: ResourcePath, body: PutRequest } }, async (req, reply) => {
         const { changeId, operator, baseVersion, spec } = req.body;
-        const kind = kindOf(req.params.kind);
+        const kind = kindFromPlural(req.params.kind);
         const item: ChangeItem = { op: "put", kind, name: req.params.name, baseVersion, spec };
         return sendResult(reply, await commitChange(replica, { changeId, operator, items: [item] }));
     });
@@ -105,7 +105,7 @@
             const { changeId, operator, baseVersion } = req.query;
             const item: ChangeItem = {
                 op: "delete",
-                kind: kindOf(req.params.kind),
+                kind: kindFromPlural(req.params.kind),
                 name: req.params.name,
                 baseVersion,
             };
@@ -114,13 +114,13 @@
     );
 }
 
-function addViews(app: App, options: OperatorOptions): void {
-    app.get("/apis/v1/status", () => statusOf(options));
+function addStatusRoutes(app: App, options: OperatorServerOptions): void {
+    app.get("/apis/v1/status", () => collectStatus(options));
     const watchQuery = Type.Object({ from: Type.Optional(Type.Integer({ minimum: 0 })) });
     app.get("/apis/v1/watch", { schema: { querystring: watchQuery } }, (req, reply) => {
-        const left = new AbortController();
-        reply.raw.once("close", () => left.abort());
-        const lines = watchLines(options.declarations, req.query.from, left.signal);
+        const disconnected = new AbortController();
+        reply.raw.once("close", () => disconnected.abort());
+        const lines = watchLines(options.declarations, req.query.from, disconnected.signal);
         return reply.type("application/x-ndjson").send(Readable.from(lines));
     });
     const timelineQuery = Type.Object({
@@ -132,30 +132,30 @@
     app.get("/apis/v1/timeline", { schema: { querystring: timelineQuery } }, async (req, reply) => {
         const { request: requestId, resource, host, limit } = req.query;
         const members = options.replica.state.membership?.members ?? [];
-        const gathered = await gatherEvents(options.clients, members, options.registrar, {
+        const collected = await collectEvents(options.clients, members, options.registrar, {
             requestId,
             resource,
             host,
             limit,
         });
-        const events = new JsonRenderer().render(gathered.events);
+        const events = new JsonRenderer().render(collected.events);
         return reply.type("application/json").send(
-            `{"missing":${JSON.stringify(gathered.missing)},"events":${events}}`,
+            `{"missing":${JSON.stringify(collected.missing)},"events":${events}}`,
         );
     });
 }
 
-function kindOf(plural: string): Kind {
-    return kinds.find(kind => pluralOf(kind) === plural)!;
+function kindFromPlural(plural: string): Kind {
+    return kinds.find(kind => pluralName(kind) === plural)!;
 }
 
 function sendResult(reply: FastifyReply, result: ChangeResult) {
     if (result.tag === "accepted") {
         return reply.code(200).send(result);
     }
-    const status = statusOfCode(result.issues[0].code);
+    const status = httpStatusFor(result.issues[0].code);
     return reply.code(status).type(problemType).send({
-        ...problemOf(result.issues[0].code, "The change was refused"),
+        ...createProblem(result.issues[0].code, "The change was refused"),
         ...result,
     });
 }
@@ -163,19 +163,19 @@
 function sendError(reply: FastifyReply, err: unknown) {
     if (err instanceof Failure) {
         const { code, issues } = err;
-        return reply.code(statusOfCode(code)).type(problemType).send({ ...problemOf(code, err.message), issues });
+        return reply.code(httpStatusFor(code)).type(problemType).send({ ...createProblem(code, err.message), issues });
     }
     const status = (err as { statusCode?: number; }).statusCode ?? 500;
     const code = status < 500 ? FailureCode.invalid : FailureCode.outcomeUnknown;
     const issues = [{ code, path: [], message: messageOf(err) }];
-    return reply.code(status).type(problemType).send({ ...problemOf(code, messageOf(err)), status, issues });
+    return reply.code(status).type(problemType).send({ ...createProblem(code, messageOf(err)), status, issues });
 }
 
-function problemOf(code: string, title: string) {
-    return { type: `urn:winchpath:problem:${code}`, title, status: statusOfCode(code), code };
+function createProblem(code: string, title: string) {
+    return { type: `urn:winchpath:problem:${code}`, title, status: httpStatusFor(code), code };
 }
 
-const statuses: Readonly<Record<string, number>> = {
+const httpStatuses: Readonly<Record<string, number>> = {
     [FailureCode.invalid]: 422,
     [FailureCode.notFound]: 404,
     [FailureCode.conflict]: 409,
@@ -186,6 +186,6 @@
     [FailureCode.stopping]: 503,
 };
 
-function statusOfCode(code: string): number {
-    return statuses[code] ?? 500;
+function httpStatusFor(code: string): number {
+    return httpStatuses[code] ?? 500;
 }
--- a/packages/operators/src/statuses.ts
+++ b/packages/operators/src/statuses.ts
@@ -1,13 +1,13 @@
-/** Works the status out from what this host knows, and asks the members how far they are. */
+/** Computes the status from this host's state and from probes of the group's members. */
 import { type PeerConnector, type Replica } from "@winchpath/consensus";
 import { type Catalogue, type Model } from "@winchpath/declarations";
 import { type AcceleratorView, acceleratorViews, type Ledger, placementReason } from "@winchpath/placement";
 import { type LiveUpstream, type Registrar } from "@winchpath/upstream";
-import { type MemberView, type ModelStatus, type Status, type UpstreamStatus } from "./schemas.js";
+import { type MemberStatus, type ModelStatus, type Status, type UpstreamStatus } from "./schemas.js";
 
 const probeTimeoutMs = 500;
 
-export interface StatusParts {
+export interface StatusSources {
     readonly replica: Replica;
     readonly peers: PeerConnector;
     readonly registrar: Registrar;
@@ -15,39 +15,39 @@
     readonly catalogue: () => Catalogue;
 }
 
-export async function statusOf(parts: StatusParts): Promise<Status> {
-    const catalogue = parts.catalogue();
-    const live = parts.registrar.live();
-    const views = acceleratorViews(parts.ledger, live, catalogue.drained, () => true);
-    const members = await memberViews(parts);
-    const upstreams = live.map(each => upstreamStatus(each, parts.ledger));
+export async function collectStatus(sources: StatusSources): Promise<Status> {
+    const catalogue = sources.catalogue();
+    const live = sources.registrar.live();
+    const accelerators = acceleratorViews(sources.ledger, live, catalogue.drained, () => true);
+    const members = await probeMembers(sources);
+    const upstreams = live.map(each => upstreamStatus(each, sources.ledger));
     return {
         revision: catalogue.revision,
         leader: members.find(member => member.role === "leader")?.host ?? "",
         members,
         upstreams: upstreams.sort((a, b) => a.name < b.name ? -1 : 1),
-        models: catalogue.models.map(model => modelStatus(model, views)),
+        models: catalogue.models.map(model => modelStatus(model, accelerators)),
         services: [...catalogue.services.keys()].sort().map(name => ({
             name,
             upstreams: live.filter(({ report }) => report.service === name).length,
         })),
-        behind: behindOf(catalogue.revision, members, upstreams),
+        behind: listBehind(catalogue.revision, members, upstreams),
     };
 }
 
-/** What one model has on these accelerators. */
-export function modelStatus(model: Model, views: readonly AcceleratorView[]): ModelStatus {
+/** Computes a model's status from the state of the accelerators. */
+export function modelStatus(model: Model, accelerators: readonly AcceleratorView[]): ModelStatus {
     const ids = [model, ...model.adapters].map(item => item.id);
-    const ready = views.filter(view => ids.every(id => view.items.get(id)?.ready));
-    const held = views.filter(view => view.items.has(model.id));
-    const earlier = views.filter(view =>
+    const ready = accelerators.filter(view => ids.every(id => view.items.get(id)?.ready));
+    const held = accelerators.filter(view => view.items.has(model.id));
+    const readyEarlierVersion = accelerators.filter(view =>
         [...view.items].some(([id, item]) => item.ready && id !== model.id && id.startsWith(`${model.name}@`))
     );
     const condition = ready.length >= model.minReplicas
         ? "ready"
         : ready.length > 0 || held.length > 0
         ? "progressing"
-        : earlier.length > 0
+        : readyEarlierVersion.length > 0
         ? "earlier-version"
         : "unreachable";
     return {
@@ -59,7 +59,7 @@
         loading: held.length - ready.length,
         adapters: model.adapters.length,
         readyAt: ready.map(view => view.upstream),
-        reason: condition === "ready" ? "" : placementReason(model, views, held.length).text,
+        reason: condition === "ready" ? "" : placementReason(model, accelerators, held.length).text,
     };
 }
 
@@ -81,7 +81,7 @@
     };
 }
 
-async function memberViews({ replica, peers }: StatusParts): Promise<MemberView[]> {
+async function probeMembers({ replica, peers }: StatusSources): Promise<MemberStatus[]> {
     const members = replica.state.membership?.members ?? [];
     return Promise.all(members.map(async ({ host, url, voter }) => {
         try {
@@ -102,7 +102,11 @@
     }));
 }
 
-function behindOf(revision: number, members: readonly MemberView[], upstreams: readonly UpstreamStatus[]): string[] {
+function listBehind(
+    revision: number,
+    members: readonly MemberStatus[],
+    upstreams: readonly UpstreamStatus[],
+): string[] {
     const hosts = members.filter(member => member.appliedIndex < revision).map(({ host, reachable, appliedIndex }) =>
         reachable ? `${host} (at ${appliedIndex})` : `${host} (not reachable)`
     );
--- a/packages/operators/src/tests/operators.test.ts
+++ b/packages/operators/src/tests/operators.test.ts
@@ -2,7 +2,7 @@
 import { type AcceleratorView } from "@winchpath/placement";
 import { expect } from "earl";
 import { describe, it } from "node:test";
-import { modelStatus, openApiDocument, tryChange, type WatchLine, watchLines } from "../index.js";
+import { dryRunChange, modelStatus, openApiDocument, type WatchLine, watchLines } from "../index.js";
 
 const gibibyte = 2 ** 30;
 
@@ -20,21 +20,21 @@
         return JSON.parse(value as string) as WatchLine;
     }
 
-    it("gives everything first, then each change, also those made while a line was read", async () => {
+    it("sends a snapshot, then each change, including those made between reads", async () => {
         const declarations = new Declarations();
         change(declarations, 1, put("a"));
-        const left = new AbortController();
-        const lines = watchLines(declarations, undefined, left.signal);
+        const disconnected = new AbortController();
+        const lines = watchLines(declarations, undefined, disconnected.signal);
         const first = await next(lines);
         expect(first.type === "snapshot" && first.items.map(({ name }) => name)).toEqual(["a"]);
         change(declarations, 2, put("b"));
         change(declarations, 3, { op: "delete", kind: "Model", name: "a", baseVersion: 1 });
         const changes = [await next(lines), await next(lines)];
         expect(changes.map(({ type, revision }) => `${type} ${revision}`)).toEqual(["put 2", "delete 3"]);
-        left.abort();
+        disconnected.abort();
     });
 
-    it("goes on from a revision, or gives everything where that is forgotten", async () => {
+    it("resumes from a revision, or sends a snapshot if its history is gone", async () => {
         const declarations = new Declarations();
         change(declarations, 1, put("a"));
         change(declarations, 2, put("b"));
@@ -74,14 +74,14 @@
         return { ...common, bytes: 8 * gibibyte, free: 8 * gibibyte, items, ...changes };
     }
 
-    it("calls a model ready only with its adapters, at the declared version", () => {
+    it("reports a model as ready only with its adapters, at the declared version", () => {
         expect(modelStatus(model, [view(["m@2", "a@1"])]).condition).toEqual("ready");
         expect(modelStatus(model, [view(["m@2"])]).condition).toEqual("progressing");
         expect(modelStatus(model, [view(["m@1", "a@1"])]).condition).toEqual("earlier-version");
         expect(modelStatus(model, [view([])]).condition).toEqual("unreachable");
     });
 
-    it("says why there is no replica", () => {
+    it("explains why there is no replica", () => {
         const reason = (...views: AcceleratorView[]) => modelStatus(model, views).reason;
         expect(reason()).toEqual("no live engine in its data centres");
         expect(reason(view([], { bytes: 3 * gibibyte }))).toEqual("it needs 4 GiB, more than any accelerator has");
@@ -93,9 +93,10 @@
 });
 
 describe("tryChange", () => {
-    it("tells what would come of a change, and makes none", () => {
+    it("returns the result of a change without applying it", () => {
         const declarations = new Declarations();
-        const attempt = (item: ChangeItem) => tryChange(declarations, { changeId: "c", operator: "o", items: [item] });
+        const attempt = (item: ChangeItem) =>
+            dryRunChange(declarations, { changeId: "c", operator: "o", items: [item] });
         expect(attempt(put("m")).tag).toEqual("accepted");
         const refused = attempt(put("m", { version: "1", memory: "much", colour: "red" }));
         const paths = refused.tag === "refused" ? refused.issues.map(({ path }) => path.join(".")) : [];
@@ -105,7 +106,7 @@
 });
 
 describe("openApiDocument", () => {
-    it("describes each kind by the schema that checks it", () => {
+    it("describes each kind by its validation schema", () => {
         const { schemas } = openApiDocument().components as { schemas: Record<string, { properties: object; }>; };
         expect(kinds.every(kind => schemas[kind] !== undefined)).toEqual(true);
         expect(Object.keys(schemas["Model"].properties).includes("minReplicas")).toEqual(true);
--- a/packages/operators/src/watches.ts
+++ b/packages/operators/src/watches.ts
@@ -1,44 +1,44 @@
-/** The watch: everything as of a revision, then each change as it comes into force. */
+/** The watch stream of declarations. */
 import { type Declarations } from "@winchpath/declarations";
 import { type WatchLine } from "./schemas.js";
 
-/** An empty line is sent after this time without a change, so that a dead connection is noticed. */
+/** An empty line is sent after this time without changes, so that clients can detect a dead connection. */
 const keepAliveMs = 5000;
 
-/** Lines from `revision` on; starts with a snapshot where the changes since then are not remembered. */
+/** Yields changes after `revision`, preceded by a snapshot if the change history doesn't reach back that far. */
 export async function* watchLines(
     declarations: Declarations,
     revision: number | undefined,
     signal: AbortSignal,
 ): AsyncGenerator<string> {
-    let at = revision;
+    let sentRevision = revision;
     while (!signal.aborted) {
-        // Read together: what comes while the lines are written is for the next turn.
-        const { revision: now } = declarations;
-        const events = at === undefined ? undefined : declarations.eventsSince(at);
+        // Read the revision and its events together; changes made while lines are written follow in the next pass.
+        const { revision: currentRevision } = declarations;
+        const events = sentRevision === undefined ? undefined : declarations.eventsSince(sentRevision);
         if (events === undefined) {
-            yield lineOf({ type: "snapshot", revision: declarations.revision, items: declarations.list() });
+            yield encodeLine({ type: "snapshot", revision: declarations.revision, items: declarations.list() });
         }
         for (const { op, kind, name, revision: changedAt } of events ?? []) {
             const resource = declarations.get(kind, name);
-            // A later delete has its own event.
+            // A put without a resource was followed by a delete, which has its own event.
             if (op === "delete") {
-                yield lineOf({ type: "delete", revision: changedAt, kind, name });
+                yield encodeLine({ type: "delete", revision: changedAt, kind, name });
             }
             else if (resource !== undefined) {
-                yield lineOf({ type: "put", revision: changedAt, resource });
+                yield encodeLine({ type: "put", revision: changedAt, resource });
             }
         }
-        at = now;
-        if (declarations.revision === now) {
+        sentRevision = currentRevision;
+        if (declarations.revision === currentRevision) {
             await declarations.changed.wait(keepAliveMs);
         }
-        if (declarations.revision === now) {
+        if (declarations.revision === currentRevision) {
             yield "\n";
         }
     }
 }
 
-function lineOf(line: WatchLine): string {
+function encodeLine(line: WatchLine): string {
     return `${JSON.stringify(line)}\n`;
 }
--- a/packages/timeline/src/tests/timelines.test.ts
+++ b/packages/timeline/src/tests/timelines.test.ts
@@ -14,7 +14,7 @@
         expect(timeline.dropped).toEqual(1n);
     });
 
-    it("merges an effect after its cause, whatever the wall clocks say", t => {
+    it("orders an effect after its cause despite skewed wall clocks", t => {
         t.mock.timers.enable({ apis: ["Date"], now: 5000 });
         const sender = timelineOf("z-sender");
         sender.record("sent");
@@ -27,7 +27,7 @@
         expect(kinds).toEqual(["sent", "received"]);
     });
 
-    it("escapes what stands on the HTML page", () => {
+    it("escapes HTML in event details", () => {
         const timeline = timelineOf("entry/a");
         timeline.record("request.failed", { detail: "<script>" });
         expect(new HtmlRenderer().render(timeline.list())).toInclude("&lt;script&gt;");
--- a/packages/timeline/src/timelines.ts
+++ b/packages/timeline/src/timelines.ts
@@ -1,20 +1,18 @@
-/** The events of one process, in a bounded ring, under a logical clock. */
+/** Bounded buffer of one process's events, ordered by a logical clock. */
 import { create } from "@bufbuild/protobuf";
 import { type EventLog, silentLog } from "@winchpath/core";
 import { type Event, EventSchema } from "./gen/winchpath/timeline/v1/timeline_pb.js";
 
-/** Events a process keeps; older ones are dropped and counted. */
 const defaultCapacity = 4000;
 
-/** Which process the events belong to. */
 export interface ProcessIdentity {
-    /** Role and host, "agent/booking-1" for one. */
+    /** Role and host, for example "agent/booking-1". */
     readonly process: string;
     readonly host: string;
     readonly dataCentre: string;
 }
 
-/** What is told of an event besides its kind; absent fields do not apply. */
+/** Optional fields of an event. */
 export interface EventFields {
     readonly requestId?: string;
     readonly resource?: string;
@@ -22,7 +20,7 @@
     readonly detail?: string;
 }
 
-/** Which events are asked for; an absent field matches all. */
+/** Selects events; an absent field matches all. */
 export interface EventFilter {
     readonly requestId?: string;
     readonly resource?: string;
@@ -31,28 +29,27 @@
 }
 
 /**
- * Keeps the newest events. The clock is a Lamport clock: every message between
- * processes carries it, so that an effect never sorts before its cause.
+ * Keeps the newest events. Messages between processes carry its Lamport clock, so that
+ * an effect never sorts before its cause.
  */
 export class Timeline {
     private readonly events: Event[] = [];
-    private clock = 0n;
+    private logicalClock = 0n;
     private sequence = 0n;
     private droppedCount = 0n;
 
     public constructor(
         private readonly identity: ProcessIdentity,
         private readonly capacity: number = defaultCapacity,
-        /** Where every event is told as well. */
+        /** Receives every event as well. */
         private readonly log: EventLog = silentLog,
     ) {}
 
-    /** Number of events that were dropped from the ring. */
+    /** Number of events dropped because the buffer was full. */
     public get dropped(): bigint {
         return this.droppedCount;
     }
 
-    /** Adds an event. */
     public record(kind: string, fields: EventFields = {}): void {
         this.log.info(kind, { ...fields });
         this.sequence += 1n;
@@ -73,20 +70,20 @@
         }
     }
 
-    /** Moves the clock on, for a message that is sent. */
+    /** Advances the clock for a message to be sent. */
     public tick(): bigint {
-        this.clock += 1n;
-        return this.clock;
+        this.logicalClock += 1n;
+        return this.logicalClock;
     }
 
-    /** Takes in the clock of a message that was received. */
+    /** Merges the clock of a received message. */
     public observe(clock: bigint): void {
-        if (clock > this.clock) {
-            this.clock = clock;
+        if (clock > this.logicalClock) {
+            this.logicalClock = clock;
         }
     }
 
-    /** The kept events that match, oldest first. */
+    /** Matching events, oldest first; with a limit, only the newest ones. */
     public list(filter: EventFilter = {}): Event[] {
         const matching = this.events.filter(event => matches(event, filter));
         return filter.limit === undefined ? matching : matching.slice(-filter.limit);
@@ -99,7 +96,7 @@
         && (filter.host === undefined || event.host === filter.host);
 }
 
-/** Merges the events of several processes in causal order; ties by process, then by order within it. */
+/** Merges the events of several processes in causal order, breaking ties by process and then by sequence. */
 export function mergeEvents(lists: readonly (readonly Event[])[]): Event[] {
     return lists.flat().sort((a, b) =>
         compare(a.clock, b.clock) || compare(a.process, b.process) || compare(a.sequence, b.sequence)
--- a/packages/winchpath/src/clients.ts
+++ b/packages/winchpath/src/clients.ts
@@ -1,32 +1,32 @@
-/** The operators' interface as the command line uses it: several entries, the next one tried when one is down. */
+/** Client of the operators' HTTP interface, with failover between entries. */
 import { Failure, FailureCode, type Issue, messageOf, sleep } from "@winchpath/core";
 import { type Change, type ChangeResult, type Kind, type Resource } from "@winchpath/declarations";
 import { type ResourceList, type Status, type WatchLine } from "@winchpath/operators";
 import { request } from "undici";
 
-/** What takes longer is asked of the next entry; a change may be, since it carries its id. */
+/** After a timeout the request goes to the next entry. Changes are idempotent by their change id. */
 const readTimeoutMs = 3000;
 const changeTimeoutMs = 5000;
-/** The watch sends an empty line more often than this. */
+/** Longer than the interval of the server's keep-alive lines. */
 const watchTimeoutMs = 15_000;
-const rounds = 3;
-const pauseMs = 300;
+const maxRounds = 3;
+const retryDelayMs = 300;
 const unavailableStatus = 503;
 const okStatus = 200;
 
 export interface ClientOptions {
-    /** Base URLs of operators' listeners. */
+    /** Base URLs of operators' interfaces. */
     readonly entries: readonly string[];
     readonly key: string | undefined;
 }
 
-interface Answer {
+interface HttpResponse {
     readonly status: number;
     readonly text: string;
 }
 
 export class OperatorClient {
-    private preferred: string | undefined;
+    private lastRespondingEntry: string | undefined;
 
     public constructor(private readonly options: ClientOptions) {}
 
@@ -42,7 +42,7 @@
         return this.read("/apis/v1/status");
     }
 
-    /** The merged time line, and processes that did not answer. */
+    /** The merged timeline, and the URLs of processes that did not respond. */
     public timeline(
         query: Readonly<Record<string, string | undefined>>,
     ): Promise<{ missing: string[]; events: unknown[]; }> {
@@ -50,7 +50,7 @@
         return this.read(`/apis/v1/timeline?${new URLSearchParams(pairs)}`);
     }
 
-    /** Makes a change; safe to send again, since it carries its change id. */
+    /** Commits a change. Retries are idempotent by the change id. */
     public async change(change: Change, dryRun: boolean): Promise<ChangeResult> {
         const { status, text } = await this.send("POST", "/apis/v1/changes", { ...change, dryRun });
         const body = JSON.parse(text) as ChangeResult & { issues?: Issue[]; };
@@ -63,27 +63,27 @@
         throw new Failure(body.issues ?? [{ code: FailureCode.invalid, path: [], message: text }]);
     }
 
-    /** Lines of the watch, from another entry where one is lost; each goes on where the last stood. */
+    /** Streams watch lines; after a failure it resumes from the last revision at the next entry. */
     public async *watch(from: number | undefined): AsyncGenerator<WatchLine> {
         let revision = from;
-        for (let failures = 0; failures < rounds * this.options.entries.length;) {
+        for (let failures = 0; failures < maxRounds * this.options.entries.length;) {
             const entry = this.options.entries[failures % this.options.entries.length];
             try {
-                for await (const line of this.watchOne(entry, revision)) {
+                for await (const line of this.watchEntry(entry, revision)) {
                     failures = 0;
                     revision = line.revision;
                     yield line;
                 }
             }
             catch {
-                await sleep(pauseMs);
+                await sleep(retryDelayMs);
             }
             failures += 1;
         }
-        throw Failure.of(FailureCode.unreachable, "no entry can be watched");
+        throw Failure.of(FailureCode.unreachable, "could not watch any entry");
     }
 
-    private async *watchOne(entry: string, from: number | undefined): AsyncGenerator<WatchLine> {
+    private async *watchEntry(entry: string, from: number | undefined): AsyncGenerator<WatchLine> {
         const query = from === undefined ? "" : `?from=${from}`;
         const { statusCode, body } = await request(`${entry}/apis/v1/watch${query}`, {
             headers: this.headers(),
@@ -92,10 +92,10 @@
         if (statusCode !== okStatus) {
             throw Failure.of(FailureCode.unreachable, await body.text());
         }
-        let rest = "";
+        let partialLine = "";
         for await (const chunk of body) {
-            const lines = (rest + String(chunk)).split("\n");
-            rest = lines.pop()!;
+            const lines = (partialLine + String(chunk)).split("\n");
+            partialLine = lines.pop()!;
             yield* lines.filter(line => line !== "").map(line => JSON.parse(line) as WatchLine);
         }
     }
@@ -109,36 +109,36 @@
         return body;
     }
 
-    /** Asks one entry after the other, a few rounds long. */
-    private async send(method: "GET" | "POST", path: string, body?: unknown): Promise<Answer> {
-        let last = "no entries are given";
-        for (let round = 0; round < rounds; round++) {
-            for (const entry of this.inOrder()) {
+    /** Tries each entry in turn, for up to `maxRounds` rounds. */
+    private async send(method: "GET" | "POST", path: string, body?: unknown): Promise<HttpResponse> {
+        let lastError = "no entry URL was given";
+        for (let round = 0; round < maxRounds; round++) {
+            for (const entry of this.entriesByPreference()) {
                 try {
-                    const answer = await this.sendOne(entry, method, path, body);
-                    if (answer.status !== unavailableStatus) {
-                        this.preferred = entry;
-                        return answer;
+                    const response = await this.sendTo(entry, method, path, body);
+                    if (response.status !== unavailableStatus) {
+                        this.lastRespondingEntry = entry;
+                        return response;
                     }
-                    last = `${entry}: ${answer.text}`;
+                    lastError = `${entry}: ${response.text}`;
                 }
                 catch (err) {
-                    last = `${entry}: ${messageOf(err)}`;
+                    lastError = `${entry}: ${messageOf(err)}`;
                 }
             }
-            await sleep(pauseMs);
+            await sleep(retryDelayMs);
         }
-        throw Failure.of(FailureCode.unreachable, last);
+        throw Failure.of(FailureCode.unreachable, lastError);
     }
 
-    /** The entry that answered last comes first. */
-    private inOrder(): string[] {
+    /** All entries, starting with the one that last responded. */
+    private entriesByPreference(): string[] {
         const { entries } = this.options;
-        const first = entries.filter(entry => entry === this.preferred);
-        return [...first, ...entries.filter(entry => entry !== this.preferred)];
+        const first = entries.filter(entry => entry === this.lastRespondingEntry);
+        return [...first, ...entries.filter(entry => entry !== this.lastRespondingEntry)];
     }
 
-    private async sendOne(entry: string, method: "GET" | "POST", path: string, body: unknown): Promise<Answer> {
+    private async sendTo(entry: string, method: "GET" | "POST", path: string, body: unknown): Promise<HttpResponse> {
         const res = await request(entry + path, {
             method,
             headers: this.headers(),
--- a/packages/winchpath/src/commands/applies.ts
+++ b/packages/winchpath/src/commands/applies.ts
@@ -1,4 +1,4 @@
-/** `apply`, `diff` and `drain`: commands that make a change. */
+/** Commands that change declarations or preview changes: `apply`, `diff` and `drain`. */
 import { formatIssue, newIdentity, sleep } from "@winchpath/core";
 import { type ChangeItem, type ChangeResult, kinds, loadManifests, type Resource } from "@winchpath/declarations";
 import { type Status } from "@winchpath/operators";
@@ -11,15 +11,15 @@
     readonly file: string;
     readonly dryRun: boolean;
     readonly prune: boolean;
-    /** Waits until everything declared is ready. */
+    /** Wait until everything declared is ready. */
     readonly wait: boolean;
     readonly timeoutSeconds: number;
     readonly changeId: string | undefined;
 }
 
-/** Makes the declarations what the files say. */
+/** Changes the declarations to match the files. */
 export async function apply(context: Context, options: ApplyOptions): Promise<ExitCode> {
-    const items = await itemsFor(context, options.file, options.prune);
+    const items = await diffAgainstCurrent(context, options.file, options.prune);
     if (items.length === 0) {
         context.print({ tag: "accepted", unchanged: true }, () => "nothing to change");
         return options.wait ? waitUntilReady(context, options.timeoutSeconds) : ExitCode.done;
@@ -35,23 +35,23 @@
 
 /** Shows what `apply` would change. */
 export async function diff(context: Context, file: string, prune: boolean): Promise<ExitCode> {
-    const items = await itemsFor(context, file, prune);
+    const items = await diffAgainstCurrent(context, file, prune);
     context.print(items, () => items.length === 0 ? "no differences" : formatDifferences(items));
     return ExitCode.done;
 }
 
-/** Has everything move off an upstream, or, with `undo`, lets it take work again. */
+/** Moves all work off an upstream; with `undo`, lets it accept work again. */
 export async function drain(context: Context, name: string, undo: boolean, reason: string): Promise<ExitCode> {
     const { items } = await context.client.list("Drain");
-    const known = items.find(item => item.name === name);
-    if (undo === (known === undefined)) {
+    const existing = items.find(item => item.name === name);
+    if (undo === (existing === undefined)) {
         context.print(
             { tag: "accepted", unchanged: true },
             () => `${name} is ${undo ? "not drained" : "drained already"}`,
         );
         return ExitCode.done;
     }
-    const base = { kind: "Drain" as const, name, baseVersion: known?.version ?? 0 };
+    const base = { kind: "Drain" as const, name, baseVersion: existing?.version ?? 0 };
     const item: ChangeItem = undo ? { op: "delete", ...base } : { op: "put", ...base, spec: { reason } };
     const result = await context.client.change(
         { changeId: newIdentity(), operator: context.operator, items: [item] },
@@ -61,7 +61,7 @@
     return result.tag === "accepted" ? ExitCode.done : ExitCode.refused;
 }
 
-async function itemsFor(context: Context, file: string, prune: boolean): Promise<ChangeItem[]> {
+async function diffAgainstCurrent(context: Context, file: string, prune: boolean): Promise<ChangeItem[]> {
     const manifests = loadManifests(file);
     if (manifests.err) {
         throw manifests.val;
@@ -80,29 +80,29 @@
 
 async function waitUntilReady(context: Context, timeoutSeconds: number): Promise<ExitCode> {
     const deadline = Date.now() + timeoutSeconds * 1000;
-    let shown = "";
+    let lastProgress = "";
     while (Date.now() < deadline) {
         const status = await context.client.status();
-        const waiting = waitingFor(status);
-        if (waiting.length === 0) {
+        const notReady = listNotReady(status);
+        if (notReady.length === 0) {
             context.progress("everything is ready");
             return ExitCode.done;
         }
-        const text = `waiting for ${waiting.length}: ${waiting.slice(0, 3).join("; ")}${
-            waiting.length > 3 ? "; ..." : ""
+        const text = `waiting for ${notReady.length}: ${notReady.slice(0, 3).join("; ")}${
+            notReady.length > 3 ? "; ..." : ""
         }`;
-        if (text !== shown) {
-            shown = text;
+        if (text !== lastProgress) {
+            lastProgress = text;
             context.progress(text);
         }
         await sleep(waitPollMs);
     }
-    context.progress("time ran out before everything was ready");
-    return ExitCode.waited;
+    context.progress("timed out before everything was ready");
+    return ExitCode.timedOut;
 }
 
-/** What is not ready yet, in words. */
-function waitingFor(status: Status): string[] {
+/** Descriptions of everything that is not ready yet. */
+function listNotReady(status: Status): string[] {
     return [
         ...status.behind.map(process => `${process} is behind`),
         ...status.models.filter(model => model.condition !== "ready").map(model => `${model.name} (${model.reason})`),
--- a/packages/winchpath/src/commands/explains.ts
+++ b/packages/winchpath/src/commands/explains.ts
@@ -1,4 +1,4 @@
-/** `explain` and `summarize`: what became of one request, or of all, by the logs of all processes. */
+/** Commands that analyse logs: `explain` and `summarize`. */
 import { Failure, FailureCode } from "@winchpath/core";
 import { readFileSync } from "node:fs";
 import { type Context, ExitCode } from "../contexts.js";
@@ -9,7 +9,7 @@
 export function explainRequest(context: Context, request: string, files: readonly string[]): ExitCode {
     const explanation = explain(files.flatMap(readLog), request);
     if (explanation === undefined) {
-        throw Failure.of(FailureCode.notFound, `no process tells of request ${request} in these logs`);
+        throw Failure.of(FailureCode.notFound, `request ${request} does not occur in these logs`);
     }
     context.print(explanation, () => formatExplanation(explanation));
     return ExitCode.done;
--- a/packages/winchpath/src/commands/views.ts
+++ b/packages/winchpath/src/commands/views.ts
@@ -1,4 +1,4 @@
-/** `get`, `describe`, `watch`, `status`, `timeline` and `check-settings`: commands that only look. */
+/** Read-only commands: `get`, `describe`, `watch`, `status`, `timeline` and `check-settings`. */
 import { fromJson, type JsonValue } from "@bufbuild/protobuf";
 import { formatIssue } from "@winchpath/core";
 import { type Kind } from "@winchpath/declarations";
@@ -22,7 +22,7 @@
     return ExitCode.done;
 }
 
-/** A declaration with its status and its latest events. */
+/** Prints a declaration with its status and latest events. */
 export async function describe(context: Context, kind: Kind, name: string): Promise<ExitCode> {
     const resource = await context.client.get(kind, name);
     const status = await context.client.status();
@@ -76,7 +76,7 @@
     return ExitCode.done;
 }
 
-/** Checks a settings file as `winchpathd` would. */
+/** Validates a settings file as `winchpathd` does at startup. */
 export function checkSettings(file: string): ExitCode {
     const result = loadSettings(file);
     if (result.ok) {
@@ -89,6 +89,6 @@
 
 async function readEvents(context: Context, query: Readonly<Record<string, string | undefined>>): Promise<Event[]> {
     const { events, missing } = await context.client.timeline(query);
-    missing.forEach(url => context.progress(`no events from ${url}: it does not answer`));
+    missing.forEach(url => context.progress(`no events from ${url}: no response`));
     return events.map(event => fromJson(EventSchema, event as JsonValue));
 }
--- a/packages/winchpath/src/contexts.ts
+++ b/packages/winchpath/src/contexts.ts
@@ -1,4 +1,4 @@
-/** What every command gets: the client, and where its output goes. */
+/** The context that is passed to each command: client, operator name and output. */
 import { Failure, FailureCode, formatIssue } from "@winchpath/core";
 import { readFileSync } from "node:fs";
 import { userInfo } from "node:os";
@@ -11,10 +11,10 @@
     failed: 1,
     /** The command, a file or a setting is wrong. */
     invalid: 2,
-    /** The change was refused: a conflict, or a declaration that won't do. */
+    /** The change was refused: a version conflict or an invalid declaration. */
     refused: 3,
-    /** What was waited for did not come in time. */
-    waited: 4,
+    /** Waiting timed out. */
+    timedOut: 4,
 } as const;
 export type ExitCode = typeof ExitCode[keyof typeof ExitCode];
 
@@ -38,18 +38,18 @@
         this.json = options.output === "json";
     }
 
-    /** Prints for people, or the value itself for programs. */
+    /** Prints the value as JSON with `--output json`, and its text form otherwise. */
     public print(value: unknown, text: () => string): void {
         process.stdout.write(`${this.json ? JSON.stringify(value, undefined, 4) : text()}\n`);
     }
 
-    /** Progress goes to the error stream, so that the output stays clean. */
+    /** Writes to standard error, so that standard output contains only results. */
     public progress(text: string): void {
         process.stderr.write(`${text}\n`);
     }
 }
 
-/** Tells a failure, and gives its exit code. */
+/** Prints an error to standard error and returns its exit code. */
 export function reportFailure(err: unknown): ExitCode {
     const issues = err instanceof Failure
         ? err.issues
@@ -59,5 +59,5 @@
     if (code === FailureCode.invalid || code === FailureCode.notFound) {
         return ExitCode.invalid;
     }
-    return code === FailureCode.timeout ? ExitCode.waited : ExitCode.failed;
+    return code === FailureCode.timeout ? ExitCode.timedOut : ExitCode.failed;
 }
--- a/packages/winchpath/src/differences.ts
+++ b/packages/winchpath/src/differences.ts
@@ -1,25 +1,30 @@
-/** What a folder of declarations would change. */
+/** Differences between manifests and the current declarations. */
 import { type ChangeItem, type Manifest, type Resource } from "@winchpath/declarations";
 import { isDeepStrictEqual } from "node:util";
 
-/** Items that bring the declarations to what the manifests say. With `prune` others are deleted. */
+/**
+ * Changes that make the declarations match the manifests. With `prune`, declarations without a
+ * manifest are deleted, except drains.
+ */
 export function differencesOf(
     manifests: readonly Manifest[],
     current: readonly Resource[],
     prune: boolean,
 ): ChangeItem[] {
-    const byKey = new Map(current.map(resource => [keyOf(resource), resource]));
+    const byKey = new Map(current.map(resource => [resourceKey(resource), resource]));
     const puts = manifests.flatMap((manifest): ChangeItem[] => {
-        const known = byKey.get(keyOf(manifest));
-        if (known !== undefined && isDeepStrictEqual(known.spec, manifest.spec)) {
+        const existing = byKey.get(resourceKey(manifest));
+        if (existing !== undefined && isDeepStrictEqual(existing.spec, manifest.spec)) {
             return [];
         }
         const { kind, name, spec } = manifest;
-        return [{ op: "put", kind, name, baseVersion: known?.version ?? 0, spec }];
+        return [{ op: "put", kind, name, baseVersion: existing?.version ?? 0, spec }];
     });
-    const wanted = new Set(manifests.map(keyOf));
-    const surplus = prune ? current.filter(resource => !wanted.has(keyOf(resource)) && resource.kind !== "Drain") : [];
-    const deletes = surplus.map(({ kind, name, version }): ChangeItem => ({
+    const declared = new Set(manifests.map(resourceKey));
+    const undeclared = prune
+        ? current.filter(resource => !declared.has(resourceKey(resource)) && resource.kind !== "Drain")
+        : [];
+    const deletes = undeclared.map(({ kind, name, version }): ChangeItem => ({
         op: "delete",
         kind,
         name,
@@ -36,6 +41,6 @@
     }).join("\n");
 }
 
-function keyOf(resource: { kind: string; name: string; }): string {
+function resourceKey(resource: { kind: string; name: string; }): string {
     return `${resource.kind}/${resource.name}`;
 }
--- a/packages/winchpath/src/explanations.ts
+++ b/packages/winchpath/src/explanations.ts
@@ -1,37 +1,36 @@
-/** What became of one request, and why: read from the structured logs of all processes. */
+/** Explains the outcome of one request from the structured logs of all processes. */
 import { type LoggedEvent } from "./logs.js";
 
-/** A request's history with the beliefs that were in force. */
+/** A request's events and the state that processes had recorded before its outcome. */
 export interface Explanation {
     readonly request: string;
-    /** What touched the request, oldest first. */
+    /** Events of the request, oldest first. */
     readonly history: readonly LoggedEvent[];
-    /** What the process that answered believed at that moment, and what the leader did about it. */
+    /** Last recorded state of the responding entry and its upstreams, and related orders and crashes. */
     readonly beliefs: readonly LoggedEvent[];
     readonly cause: string;
 }
 
-/** How far back orders for a model are looked for: a load from the store takes some ten seconds. */
-const ordersBackMs = 20_000;
-/** Orders that are shown at most. */
-const shownOrders = 8;
-/** Events that tell what an entry believes as a whole. */
-const beliefEvents = ["configuration.in-force", "control.followed", "control.lost", "entry.ready"];
+/** How far back to search for orders for the model; covers a load from the weight store. */
+const orderLookbackMs = 20_000;
+const maxOrders = 8;
+/** Events that record the state of an entry. */
+const entryStateEvents = ["configuration.in-force", "control.followed", "control.lost", "entry.ready"];
 
-/** Undefined where no process tells of the request. */
+/** Returns undefined if no event mentions the request. */
 export function explain(events: readonly LoggedEvent[], request: string): Explanation | undefined {
     const history = events.filter(event => event.values.request === request).sort((a, b) => a.time - b.time);
     const last = history.at(-1);
     if (last === undefined) {
         return undefined;
     }
-    const beliefs = [
-        ...entryBeliefs(events, last),
-        ...upstreamBeliefs(events, history),
-        ...orders(events, last),
-        ...ends(events, last),
+    const state = [
+        ...entryState(events, last),
+        ...upstreamState(events, history),
+        ...recentOrders(events, last),
+        ...relatedCrashes(events, last),
     ];
-    return { request, history, beliefs, cause: causeOf(history, beliefs) };
+    return { request, history, beliefs: state, cause: describeCause(history, state) };
 }
 
 export function formatExplanation(explanation: Explanation): string {
@@ -39,21 +38,21 @@
     return [
         `request ${request}`,
         ...history.map(event => `  ${formatEvent(event, ["request"])}`),
-        "what was believed",
+        "state at the time",
         ...beliefs.map(event => `  ${formatEvent(event, [])}`),
         `cause: ${cause}`,
         "",
     ].join("\n");
 }
 
-function entryBeliefs(events: readonly LoggedEvent[], at: LoggedEvent): LoggedEvent[] {
-    return beliefEvents.flatMap(name =>
+function entryState(events: readonly LoggedEvent[], at: LoggedEvent): LoggedEvent[] {
+    return entryStateEvents.flatMap(name =>
         lastBefore(events, at, event => event.event === name && event.host === at.host) ?? []
     );
 }
 
-/** What the entry last learnt of each upstream that it sent the request to. */
-function upstreamBeliefs(events: readonly LoggedEvent[], history: readonly LoggedEvent[]): LoggedEvent[] {
+/** The latest known state of each upstream that the request was sent to, as of each attempt. */
+function upstreamState(events: readonly LoggedEvent[], history: readonly LoggedEvent[]): LoggedEvent[] {
     const attempts = history.filter(event => event.event === "request.attempt");
     return attempts.flatMap(attempt =>
         ["upstream.known", "upstream.ejected"].flatMap(name =>
@@ -64,8 +63,8 @@
     );
 }
 
-/** What the leader did lately about the model that was asked for. */
-function orders(events: readonly LoggedEvent[], at: LoggedEvent): LoggedEvent[] {
+/** Recent orders of the leader for the requested model. */
+function recentOrders(events: readonly LoggedEvent[], at: LoggedEvent): LoggedEvent[] {
     const { model } = at.values;
     if (model === undefined) {
         return [];
@@ -73,13 +72,13 @@
     return events
         .filter(event => event.event === "order.planned" || event.event === "order.sent")
         .filter(event => String(event.values.order).split(" ").at(-1)!.split("/")[0] === model)
-        .filter(event => event.time <= at.time && event.time > at.time - ordersBackMs)
+        .filter(event => event.time <= at.time && event.time > at.time - orderLookbackMs)
         .sort((a, b) => a.time - b.time)
-        .slice(-shownOrders);
+        .slice(-maxOrders);
 }
 
-/** Upstreams that ended under a request that is held back. */
-function ends(events: readonly LoggedEvent[], at: LoggedEvent): LoggedEvent[] {
+/** Crashes and quarantine events for the request's fingerprint. */
+function relatedCrashes(events: readonly LoggedEvent[], at: LoggedEvent): LoggedEvent[] {
     const { fingerprint } = at.values;
     if (fingerprint === undefined) {
         return [];
@@ -101,85 +100,83 @@
     return events.filter(event => event.time <= at.time && matches(event)).sort((a, b) => a.time - b.time).at(-1);
 }
 
-function causeOf(history: readonly LoggedEvent[], beliefs: readonly LoggedEvent[]): string {
+function describeCause(history: readonly LoggedEvent[], state: readonly LoggedEvent[]): string {
     const last = history.at(-1)!;
     const { values } = last;
     const attempt = history.findLast(event => event.event === "request.attempt");
-    const tried = attempt === undefined
-        ? "it was sent to no upstream"
-        : `upstream ${String(attempt.values.upstream)} had it for ${String(attempt.values.tookMs)} ms: `
+    const attemptText = attempt === undefined
+        ? "it was not sent to any upstream"
+        : `the attempt at upstream ${String(attempt.values.upstream)} ended after ${String(attempt.values.tookMs)} ms: `
             + `${String(attempt.values.outcome)}${
                 attempt.values.reason === undefined ? "" : ` (${String(attempt.values.reason)})`
             }`;
     switch (values.reason ?? last.event) {
         case "lacking":
-            return `no upstream held ${itemOf(values)}; ${ordersText(beliefs)}`;
+            return `no upstream had ${formatModel(values)} loaded; ${formatLastOrder(state)}`;
         case "overloaded":
-            return `every upstream that held ${itemOf(values)} was full; ${
+            return `every upstream with ${formatModel(values)} loaded was at capacity, with ${
                 String(values.waiting)
-            } requests waited there`;
+            } requests waiting`;
         case "unconfigured":
-            return "the entry knew no configuration yet, for want of a leader of the control group";
+            return "the entry had not received a configuration yet because it had no leader of the control group";
         case "unrouted":
-            return `no route of configuration ${String(values.configuration)} matches ${String(values.host)} ${
+            return `configuration ${String(values.configuration)} has no route for ${String(values.host)} ${
                 String(values.path)
             }`;
         case "unknown-key":
-            return `in configuration ${
+            return `the request sent no API key, or one that no account in configuration ${
                 String(values.configuration)
-            } no account holds the key that it bore, or it bore none; what is known of keys was ${
-                String(values.keysAgeMs)
-            } ms old`;
+            } has; the entry's key data was ${String(values.keysAgeMs)} ms old`;
         case "keys-unconfirmed":
-            return `no leader had confirmed for ${
+            return `no leader had confirmed the API keys for ${
                 String(values.keysAgeMs)
-            } ms which keys hold, so the entry could not tell whether its key still does`;
+            } ms, so the entry could not tell whether the request's key was still valid`;
         case "over-limit":
-            return `account ${String(values.account)} had asked for more than ${String(values.perSecond)} ${
+            return `account ${String(values.account)} exceeded its limit of ${String(values.perSecond)} ${
                 String(values.unit)
-            } a second: the request counts ${String(values.units)}, and ${
+            } per second: the request needs ${String(values.units)}, and ${
                 String(values.credit)
             } were left at the entry`;
         case "ends-upstreams":
-            return `upstreams ended each time that they ran an equal request (${String(values.occasions)} times): ${
-                endsText(beliefs)
-            }; it is held back at all entries`;
+            return `upstreams crashed each time they ran an identical request (${String(values.occasions)} times): ${
+                formatCrashedUpstreams(state)
+            }; all entries refuse it`;
         case "no-upstream":
-            return "the service had no upstream that takes requests";
+            return "the service had no upstream that accepts requests";
         case "stopping":
-            return "the entry was stopping";
+            return "the entry was shutting down";
         case "late":
         case "failed":
         case "declined":
         case "request.cut":
-            return tried;
+            return attemptText;
         default:
-            return last.event === "request.attempt" ? tried : String(values.reason ?? last.event);
+            return last.event === "request.attempt" ? attemptText : String(values.reason ?? last.event);
     }
 }
 
-function itemOf(values: Readonly<Record<string, unknown>>): string {
+function formatModel(values: Readonly<Record<string, unknown>>): string {
     return `${String(values.model)}${values.adapter === undefined ? "" : `/${String(values.adapter)}`}`;
 }
 
-function endsText(beliefs: readonly LoggedEvent[]): string {
-    const ended = beliefs.filter(({ event }) => event === "upstream.ended");
+function formatCrashedUpstreams(state: readonly LoggedEvent[]): string {
+    const ended = state.filter(({ event }) => event === "upstream.ended");
     return ended.length === 0
-        ? "the leader's logs would name them"
+        ? "listed in the leader's logs"
         : ended.map(({ values }) => values.upstream).join(", ");
 }
 
-function ordersText(beliefs: readonly LoggedEvent[]): string {
-    const last = beliefs.findLast(event => event.event.startsWith("order."));
+function formatLastOrder(state: readonly LoggedEvent[]): string {
+    const last = state.findLast(event => event.event.startsWith("order."));
     return last === undefined
-        ? "the leader had ordered nothing for it lately"
-        : `the leader's last step was "${String(last.values.order)}" at ${String(last.values.upstream)}`
+        ? "the leader had no recent order for it"
+        : `the leader's last order was "${String(last.values.order)}" at ${String(last.values.upstream)}`
             + `${last.values.reply === undefined ? "" : `: ${String(last.values.reply)}`}`;
 }
 
-function formatEvent(event: LoggedEvent, without: readonly string[]): string {
+function formatEvent(event: LoggedEvent, omittedFields: readonly string[]): string {
     const values = Object.entries(event.values)
-        .filter(([name]) => !without.includes(name))
+        .filter(([name]) => !omittedFields.includes(name))
         .map(([name, value]) => `${name}=${typeof value === "string" ? value : JSON.stringify(value)}`);
     return `${new Date(event.time).toISOString()} ${event.process}/${event.host} ${event.event} ${values.join(" ")}`;
 }
--- a/packages/winchpath/src/logs.ts
+++ b/packages/winchpath/src/logs.ts
@@ -1,8 +1,7 @@
-/** Reads the structured logs of processes. */
+/** Parses the structured logs of processes. */
 
-/** One line of a process's log. */
 export interface LoggedEvent {
-    /** Time of day in milliseconds since the epoch, by the host's clock. */
+    /** Wall-clock time of the host, in milliseconds since the epoch. */
     readonly time: number;
     readonly process: string;
     readonly host: string;
@@ -10,10 +9,10 @@
     readonly values: Readonly<Record<string, unknown>>;
 }
 
-/** Fields of a line that say nothing about what happened. */
-const bookkeeping = ["level", "steadyMs"];
+/** Fields that are not part of an event's values. */
+const omittedFields = ["level", "steadyMs"];
 
-/** Reads lines; what stands before the JSON of a line (a time, a host) is passed over, as are other lines. */
+/** Parses log lines. Prefixes before the JSON (a time, a host) and lines without JSON are ignored. */
 export function parseLog(text: string): LoggedEvent[] {
     return text.split("\n").flatMap(line => parseLine(line) ?? []);
 }
@@ -25,12 +24,12 @@
     }
     try {
         const { time, process, host, event, ...rest } = JSON.parse(line.slice(start)) as Record<string, unknown>;
-        const values = Object.fromEntries(Object.entries(rest).filter(([name]) => !bookkeeping.includes(name)));
-        const where = String(host ?? line.slice(0, start).trim().split(/\s+/).at(-1) ?? "");
-        return { time: Number(time), process: String(process), host: where, event: String(event), values };
+        const values = Object.fromEntries(Object.entries(rest).filter(([name]) => !omittedFields.includes(name)));
+        const hostName = String(host ?? line.slice(0, start).trim().split(/\s+/).at(-1) ?? "");
+        return { time: Number(time), process: String(process), host: hostName, event: String(event), values };
     }
     catch {
-        // A line that was cut short when its process was killed.
+        // A truncated line, for example of a process that was killed.
         return undefined;
     }
 }
--- a/packages/winchpath/src/main.ts
+++ b/packages/winchpath/src/main.ts
@@ -1,5 +1,5 @@
 #!/usr/bin/env node
-/** `winchpath`: the operators' command line. */
+/** `winchpath`: the command line for operators. */
 import { type Kind, kinds } from "@winchpath/declarations";
 import yargs, { type Argv } from "yargs";
 import { apply, diff, drain } from "./commands/applies.js";
@@ -8,11 +8,10 @@
 import { type CommonOptions, Context, ExitCode, reportFailure } from "./contexts.js";
 
 const defaultWaitSeconds = 120;
-/** Rows of a summary by time, as the users' reports have them. */
 const defaultSpanSeconds = 2;
 const kindNames = kinds.flatMap(kind => [kind.toLowerCase(), `${kind.toLowerCase()}s`]);
 
-/** Runs a command, and sets the exit code by how it ends. */
+/** Runs a command and sets the process's exit code from its result. */
 async function run(work: () => Promise<ExitCode> | ExitCode): Promise<void> {
     try {
         process.exitCode = await work();
@@ -36,7 +35,7 @@
         .option("prune", {
             type: "boolean",
             default: false,
-            describe: "delete declarations that the files don't have",
+            describe: "delete declarations that are not in the files",
         });
 }
 
@@ -48,7 +47,7 @@
         type: "string",
         array: true,
         default: entriesFromEnvironment,
-        describe: "URL of an operators' listener; repeat it for more",
+        describe: "URL of an operators' interface; may be repeated",
     })
     .option("key-file", {
         type: "string",
@@ -59,17 +58,21 @@
     .option("operator", {
         type: "string",
         default: process.env["WINCHPATH_OPERATOR"],
-        describe: "name that changes are made under",
+        describe: "operator name recorded with changes",
     })
     .command(
         "apply",
-        "make the declarations what the files say",
+        "apply declarations from files",
         args =>
             withFile(args)
                 .option("dry-run", { type: "boolean", default: false, describe: "only show what would change" })
-                .option("wait", { type: "boolean", default: false, describe: "until everything declared is ready" })
+                .option("wait", {
+                    type: "boolean",
+                    default: false,
+                    describe: "wait until everything declared is ready",
+                })
                 .option("timeout", { type: "number", default: defaultWaitSeconds, describe: "seconds to wait" })
-                .option("change-id", { type: "string", describe: "of a change that is sent again" }),
+                .option("change-id", { type: "string", describe: "id of a change to retry" }),
         args => run(() => apply(contextOf(args), { ...args, timeoutSeconds: args.timeout })),
     )
     .command(
@@ -92,8 +95,8 @@
     )
     .command(
         "watch",
-        "follow the declarations",
-        args => args.option("from", { type: "number", describe: "revision to go on from" }),
+        "watch declarations for changes",
+        args => args.option("from", { type: "number", describe: "revision to resume from" }),
         args => run(() => watch(contextOf(args), args.from)),
     )
     .command("status", "show models, upstreams and hosts", args => args, args => run(() => status(contextOf(args))))
@@ -103,7 +106,7 @@
         args =>
             args
                 .positional("upstream", { type: "string", demandOption: true })
-                .option("undo", { type: "boolean", default: false, describe: "let it take work again" })
+                .option("undo", { type: "boolean", default: false, describe: "let it accept work again" })
                 .option("reason", { type: "string", default: "" }),
         args => run(() => drain(contextOf(args), args.upstream, args.undo, args.reason)),
     )
@@ -112,10 +115,13 @@
         "show the events of all processes in causal order",
         args =>
             args
-                .option("request", { type: "string", describe: "only of this request id" })
-                .option("resource", { type: "string", describe: "only of this declaration, or item as name@version" })
-                .option("host", { type: "string", describe: "only of this host" })
-                .option("limit", { type: "string", describe: "newest events of each process" })
+                .option("request", { type: "string", describe: "only events of this request id" })
+                .option("resource", {
+                    type: "string",
+                    describe: "only events of this declaration, or of an item as name@version",
+                })
+                .option("host", { type: "string", describe: "only events of this host" })
+                .option("limit", { type: "string", describe: "number of newest events per process" })
                 .option("format", { choices: timelineFormats, default: "text" }),
         args => {
             const { request, resource, host, limit, format } = args;
@@ -124,7 +130,7 @@
     )
     .command(
         "explain <request>",
-        "tell from logs what became of a request, and why",
+        "explain the outcome of a request from logs",
         args =>
             args
                 .positional("request", { type: "string", demandOption: true, describe: "id of the request" })
@@ -133,11 +139,11 @@
     )
     .command(
         "summarize",
-        "count from logs why requests were refused or failed, by second, model and upstream",
+        "summarize refused and failed requests from logs, by time, model and upstream",
         args =>
             args
                 .option("logs", { type: "string", array: true, demandOption: true, describe: "logs of all processes" })
-                .option("span", { type: "number", default: defaultSpanSeconds, describe: "seconds of one row" }),
+                .option("span", { type: "number", default: defaultSpanSeconds, describe: "seconds per row" }),
         args => run(() => summarizeLogs(contextOf(args), args.logs, args.span)),
     )
     .command(
--- a/packages/winchpath/src/summaries.ts
+++ b/packages/winchpath/src/summaries.ts
@@ -1,20 +1,20 @@
-/** What became of all requests in a set of logs: why they were refused, when, for which model, at which upstream. */
+/** Aggregates request outcomes from logs by reason, time, model and upstream. */
 import { Histogram } from "@winchpath/core";
 import { type LoggedEvent } from "./logs.js";
 import { formatTable } from "./tables.js";
 
-/** Final answers of the entries' own. */
+/** Responses that entries generated themselves, by reason. */
 export interface ReasonCount {
     readonly reason: string;
     readonly status: number;
     readonly count: number;
-    /** Those of them that asked for an adapter. */
+    /** How many of them requested an adapter. */
     readonly adapters: number;
 }
 
-/** Final answers of the entries' own in one span of time. */
+/** Responses that entries generated themselves within one time span. */
 export interface SpanCounts {
-    /** Seconds since the first line of the logs. */
+    /** Start of the span, in seconds since the first event. */
     readonly second: number;
     readonly reasons: Readonly<Record<string, number>>;
 }
@@ -24,13 +24,13 @@
     readonly reasons: Readonly<Record<string, number>>;
 }
 
-/** Tries at one upstream. Times in milliseconds. */
+/** Attempts at one upstream. Times are in milliseconds. */
 export interface UpstreamCounts {
     readonly upstream: string;
     readonly outcomes: Readonly<Record<string, number>>;
-    /** From the request's arrival to the beginning of its answer, 95 in 100. */
+    /** 95th percentile of the time from a request's arrival to the start of its response. */
     readonly firstP95: number;
-    /** Longest silence within a stream, 95 in 100. */
+    /** 95th percentile of the longest pause within a streamed response. */
     readonly pauseP95: number;
 }
 
@@ -41,25 +41,29 @@
     readonly upstreams: readonly UpstreamCounts[];
 }
 
-/** Models that are shown at most, those with the most answers of our own first. */
-const shownModels = 15;
-const slowest = 0.95;
+const maxModels = 15;
+const tailQuantile = 0.95;
 
-/** `spanSeconds`: length of the spans that answers are counted in. */
+/** Aggregates events; responses are counted in time spans of `spanSeconds`. */
 export function summarize(events: readonly LoggedEvent[], spanSeconds: number): LogSummary {
-    const own = events.filter(({ event }) => event === "request.own-answer");
+    const entryResponses = events.filter(({ event }) => event === "request.own-answer");
     const attempts = events.filter(({ event }) => event === "request.attempt");
     const firstTime = events.reduce((first, { time }) => Math.min(first, time), Number.POSITIVE_INFINITY);
-    const spanOf = ({ time }: LoggedEvent) => Math.floor((time - firstTime) / 1000 / spanSeconds) * spanSeconds;
+    const spanStart = ({ time }: LoggedEvent) => Math.floor((time - firstTime) / 1000 / spanSeconds) * spanSeconds;
     return {
-        reasons: [...groups(own, textOf("reason"))].map(([reason, group]) => reasonCount(reason, group))
+        reasons: [...groupBy(entryResponses, fieldReader("reason"))].map(([reason, group]) =>
+            reasonCount(reason, group)
+        )
             .sort((a, b) => b.count - a.count),
-        spans: [...groups(own, spanOf)].map(([second, group]) => ({ second, reasons: countBy(group, "reason") }))
+        spans: [...groupBy(entryResponses, spanStart)].map(([second, group]) => ({
+            second,
+            reasons: countBy(group, "reason"),
+        }))
             .sort((a, b) => a.second - b.second),
-        models: [...groups(own.filter(({ values }) => values.model !== undefined), textOf("model"))]
-            .sort(([, a], [, b]) => b.length - a.length).slice(0, shownModels)
+        models: [...groupBy(entryResponses.filter(({ values }) => values.model !== undefined), fieldReader("model"))]
+            .sort(([, a], [, b]) => b.length - a.length).slice(0, maxModels)
             .map(([model, group]) => ({ model, reasons: countBy(group, "reason") })),
-        upstreams: [...groups(attempts, textOf("upstream"))].map(([name, group]) => upstreamCounts(name, group))
+        upstreams: [...groupBy(attempts, fieldReader("upstream"))].map(([name, group]) => upstreamCounts(name, group))
             .sort((a, b) => b.firstP95 - a.firstP95),
     };
 }
@@ -70,13 +74,13 @@
             ["REASON", "STATUS", "ANSWERS", "FOR ADAPTERS"],
             summary.reasons.map(({ reason, status, count, adapters }) => [reason, status, count, adapters]),
         ),
-        formatTable(["SECOND", "ANSWERS"], summary.spans.map(({ second, reasons }) => [second, textOfCounts(reasons)])),
-        formatTable(["MODEL", "ANSWERS"], summary.models.map(({ model, reasons }) => [model, textOfCounts(reasons)])),
+        formatTable(["SECOND", "ANSWERS"], summary.spans.map(({ second, reasons }) => [second, formatCounts(reasons)])),
+        formatTable(["MODEL", "ANSWERS"], summary.models.map(({ model, reasons }) => [model, formatCounts(reasons)])),
         formatTable(
             ["UPSTREAM", "FIRST P95", "PAUSE P95", "TRIES"],
             summary.upstreams.map((
                 { upstream, firstP95, pauseP95, outcomes },
-            ) => [upstream, Math.round(firstP95), Math.round(pauseP95), textOfCounts(outcomes)]),
+            ) => [upstream, Math.round(firstP95), Math.round(pauseP95), formatCounts(outcomes)]),
         ),
         "",
     ].join("\n\n");
@@ -95,43 +99,45 @@
     return {
         upstream,
         outcomes: countBy(group, "outcome"),
-        firstP95: slowestOf(group, "firstMs"),
-        pauseP95: slowestOf(group, "longestPauseMs"),
+        firstP95: tailOf(group, "firstMs"),
+        pauseP95: tailOf(group, "longestPauseMs"),
     };
 }
 
-/** 0 where no event has the value. */
-function slowestOf(group: readonly LoggedEvent[], name: string): number {
+/** The tail quantile of a value; 0 if no event has it. */
+function tailOf(group: readonly LoggedEvent[], name: string): number {
     const histogram = new Histogram();
     group.filter(({ values }) => values[name] !== undefined).forEach(({ values }) =>
         histogram.record(Number(values[name]))
     );
-    return histogram.count === 0 ? 0 : histogram.quantile(slowest);
+    return histogram.count === 0 ? 0 : histogram.quantile(tailQuantile);
 }
 
 function countBy(group: readonly LoggedEvent[], name: string): Record<string, number> {
-    return Object.fromEntries([...groups(group, textOf(name))].map(([value, members]) => [value, members.length]));
+    return Object.fromEntries(
+        [...groupBy(group, fieldReader(name))].map(([value, members]) => [value, members.length]),
+    );
 }
 
-function groups<K>(events: readonly LoggedEvent[], keyOf: (event: LoggedEvent) => K): Map<K, LoggedEvent[]> {
-    const found = new Map<K, LoggedEvent[]>();
+function groupBy<K>(events: readonly LoggedEvent[], keyOf: (event: LoggedEvent) => K): Map<K, LoggedEvent[]> {
+    const grouped = new Map<K, LoggedEvent[]>();
     for (const event of events) {
         const key = keyOf(event);
-        const group = found.get(key);
+        const group = grouped.get(key);
         if (group === undefined) {
-            found.set(key, [event]);
+            grouped.set(key, [event]);
         }
         else {
             group.push(event);
         }
     }
-    return found;
+    return grouped;
 }
 
-function textOf(name: string): (event: LoggedEvent) => string {
+function fieldReader(name: string): (event: LoggedEvent) => string {
     return ({ values }) => String(values[name]);
 }
 
-function textOfCounts(counts: Readonly<Record<string, number>>): string {
+function formatCounts(counts: Readonly<Record<string, number>>): string {
     return Object.entries(counts).sort(([, a], [, b]) => b - a).map(([name, count]) => `${name} ${count}`).join(", ");
 }
--- a/packages/winchpath/src/tables.ts
+++ b/packages/winchpath/src/tables.ts
@@ -1,10 +1,10 @@
-/** Tables for people. */
+/** Text tables for command output. */
 import { formatBytes } from "@winchpath/core";
 import { type Resource } from "@winchpath/declarations";
 import { type Status } from "@winchpath/operators";
 import Table from "cli-table3";
 
-const plain = {
+const noBorders = {
     "top": "",
     "top-mid": "",
     "top-left": "",
@@ -22,10 +22,10 @@
     "middle": "  ",
 };
 
-/** Columns under headings, without lines. */
-export function formatTable(head: readonly string[], rows: readonly (readonly (string | number)[])[]): string {
+/** Formats aligned columns with headings and no borders. */
+export function formatTable(headings: readonly string[], rows: readonly (readonly (string | number)[])[]): string {
     const style = { "head": [], "border": [], "padding-left": 0, "padding-right": 0 };
-    const table = new Table({ head: [...head], chars: plain, style });
+    const table = new Table({ head: [...headings], chars: noBorders, style });
     table.push(...rows.map(row => row.map(String)));
     return table.toString().split("\n").map(line => line.trimEnd()).join("\n");
 }
--- a/packages/winchpath/src/tests/explanations.test.ts
+++ b/packages/winchpath/src/tests/explanations.test.ts
@@ -66,39 +66,43 @@
     const events = parseLog(log);
     const causes: [string, string, string][] = [
         [
-            "one that was refused for want of a model",
+            "a request for a model that is not loaded",
             "q1",
-            "no upstream held m; the leader's last step was \"load m\" at u2: accepted",
+            "no upstream had m loaded; the leader's last order was \"load m\" at u2: accepted",
         ],
-        ["one that failed after it was sent", "q2", "upstream u1 had it for 40 ms: unknown (reset)"],
-        ["one that was late", "q3", "upstream u1 had it for 900 ms: late"],
         [
-            "one beyond its account's limit",
+            "a request that failed at an upstream",
+            "q2",
+            "the attempt at upstream u1 ended after 40 ms: unknown (reset)",
+        ],
+        ["a request that timed out", "q3", "the attempt at upstream u1 ended after 900 ms: late"],
+        [
+            "a request over its account's limit",
             "q5",
-            "account commune had asked for more than 92813 tokens a second: the request counts 2100, and 300 were left",
+            "account commune exceeded its limit of 92813 tokens per second: the request needs 2100, and 300 were left",
         ],
-        ["one with an unknown key", "q6", "in configuration 7 no account holds the key"],
-        ["one whose key nobody could confirm", "q7", "no leader had confirmed for 4900 ms which keys hold"],
+        ["a request with an unknown key", "q6", "or one that no account in configuration 7 has"],
+        ["a request whose key is unconfirmed", "q7", "no leader had confirmed the API keys for 4900 ms"],
         [
-            "one under which upstreams ended",
+            "a quarantined request",
             "q8",
-            "upstreams ended each time that they ran an equal request (3 times): u3, u5; it is held back",
+            "upstreams crashed each time they ran an identical request (3 times): u3, u5; all entries refuse it",
         ],
-        ["one that came before there was a configuration", "q4", "the entry knew no configuration yet"],
+        ["a request before the first configuration", "q4", "the entry had not received a configuration yet"],
     ];
-    for (const [what, request, cause] of causes) {
-        it(`names the cause of ${what}`, () => {
+    for (const [description, request, cause] of causes) {
+        it(`explains ${description}`, () => {
             expect(explain(events, request)!.cause).toInclude(cause);
         });
     }
 
-    it("shows the beliefs in force, and nothing of other models", () => {
+    it("shows the entry's state, and no orders for other models", () => {
         const text = formatExplanation(explain(events, "q1")!);
         expect(text).toInclude("configuration.in-force version=7");
         expect(text).not.toInclude("load other");
     });
 
-    it("gives nothing for a request that no process tells of", () => {
+    it("returns undefined for an unknown request", () => {
         expect(explain(events, "q9")).toEqual(undefined);
     });
 });
--- a/packages/winchpath/src/tests/summaries.test.ts
+++ b/packages/winchpath/src/tests/summaries.test.ts
@@ -22,14 +22,14 @@
 describe("summarize", () => {
     const summary = summarize(events, 2);
 
-    it("counts answers of our own by reason, the most frequent first", () => {
+    it("counts entry-generated responses by reason, most frequent first", () => {
         expect(summary.reasons).toEqual([
             { reason: "lacking", status: 503, count: 2, adapters: 1 },
             { reason: "overloaded", status: 503, count: 1, adapters: 0 },
         ]);
     });
 
-    it("counts them by time and by model", () => {
+    it("counts entry-generated responses by time and by model", () => {
         expect(summary.spans).toEqual([
             { second: 0, reasons: { lacking: 1 } },
             { second: 2, reasons: { lacking: 1, overloaded: 1 } },
@@ -37,13 +37,13 @@
         expect(summary.models[0]).toEqual({ model: "m", reasons: { lacking: 2 } });
     });
 
-    it("shows the slowest upstream first, with what came of its tries", () => {
+    it("lists upstreams with their attempts' outcomes, slowest first", () => {
         const [slow, quick] = summary.upstreams;
         expect([slow.upstream, slow.outcomes]).toEqual(["u2", { answered: 1, unknown: 1 }]);
         expect([quick.upstream, Math.round(quick.pauseP95)]).toEqual(["u1", 90]);
     });
 
-    it("gives empty tables for logs without requests", () => {
+    it("formats empty tables for logs without requests", () => {
         expect(formatSummary(summarize([], 2))).toInclude("REASON");
     });
 });
--- a/packages/winchpathd/src/agents.ts
+++ b/packages/winchpathd/src/agents.ts
@@ -1,11 +1,11 @@
-/** The process of an agent: wires the upstream slice to its listener. */
+/** The agent process: registers one upstream with the control group and serves its RPC interface. */
 import { RpcClients, RpcServer } from "@winchpath/rpc";
 import { type Settings } from "@winchpath/settings";
 import { Timeline, TimelineService, timelineService } from "@winchpath/timeline";
 import { Agent, AgentService, agentService, HttpUpstream } from "@winchpath/upstream";
 import { type RunningProcess } from "./controls.js";
 
-const closeMs = 500;
+const rpcCloseTimeoutMs = 500;
 
 export class AgentProcess implements RunningProcess {
     private constructor(
@@ -42,6 +42,6 @@
         await this.agent.leave(this.cfg.limits.drain);
         await this.agent.stop();
         this.clients.close();
-        await this.rpc.close(closeMs);
+        await this.rpc.close(rpcCloseTimeoutMs);
     }
 }
--- a/packages/winchpathd/src/controls.ts
+++ b/packages/winchpathd/src/controls.ts
@@ -1,4 +1,4 @@
-/** The process of an entry or control host: wires the slices together. */
+/** The process of an entry or control host: consensus, placement, routing and its listeners. */
 import { create } from "@bufbuild/protobuf";
 import {
     ComposedMachine,
@@ -13,7 +13,7 @@
 } from "@winchpath/consensus";
 import { type EventValues, logger, Metrics, sleep, steadyNow } from "@winchpath/core";
 import { CatalogueCache, Declarations, type Model } from "@winchpath/declarations";
-import { operatorServer } from "@winchpath/operators";
+import { createOperatorServer } from "@winchpath/operators";
 import {
     acceleratorViews,
     DemandBook,
@@ -41,25 +41,25 @@
 import { type Settings } from "@winchpath/settings";
 import { Timeline, TimelineService, timelineService } from "@winchpath/timeline";
 import { Registrar, RegistrarService, registrarService } from "@winchpath/upstream";
-import { DrainBook } from "./drains.js";
-import { reportAnswer } from "./reports.js";
+import { DrainTracker } from "./drains.js";
+import { createReportAnswer } from "./reports.js";
 
 const joinTimeoutMs = 60_000;
-const demandMs = 1000;
-const glueMs = 1000;
-/** Time for the platform's balancer to see that an entry is not ready, before it stops to listen. */
-const balancerMs = 1000;
-const handOverMs = 5000;
-/** An end of an upstream is written within this time, or tried again, in milliseconds. */
-const quarantineMs = 1000;
-/** How often a stopping entry looks whether all requests have ended. */
+const demandIntervalMs = 1000;
+const changePollMs = 1000;
+/** Delay between failing the readiness check and closing the listener, so that load balancers stop routing here. */
+const loadBalancerDelayMs = 1000;
+const leadershipTransferTimeoutMs = 5000;
+/** Timeout for committing a quarantine command before it is retried. */
+const quarantineTimeoutMs = 1000;
+/** How often idle connections are closed while running requests drain. */
 const drainPollMs = 50;
-/** A host that has heard no leader for this long is not ready: it may act on old declarations. */
-const cutOffMs = 3000;
+/** A host without contact to a leader for this long reports not ready, since its declarations may be stale. */
+const leaderTimeoutMs = 3000;
 
 /** A process that can be stopped gracefully. */
 export interface RunningProcess {
-    /** One line for whoever started the process. */
+    /** Startup line printed to standard output. */
     readonly description: string;
     stop(): Promise<void>;
 }
@@ -73,27 +73,27 @@
     private readonly declarations = new Declarations();
     private readonly ledger = new Ledger();
     private readonly claims = new Claims();
-    private readonly crashes = new CrashBook();
+    private readonly quarantineState = new CrashBook();
     private readonly quarantine = new RequestQuarantine({
-        book: () => this.crashes,
-        propose: command => this.propose<QuarantineResult>("quarantine", command, quarantineMs),
+        book: () => this.quarantineState,
+        propose: command => this.propose<QuarantineResult>("quarantine", command, quarantineTimeoutMs),
         metrics: this.metrics,
         log: {
-            info: (event, values) => this.tellQuarantine(event, values),
-            warn: (event, values) => this.tellQuarantine(event, values),
+            info: (event, values) => this.recordQuarantineEvent(event, values),
+            warn: (event, values) => this.recordQuarantineEvent(event, values),
         },
     });
-    private readonly demand = new DemandBook();
+    private readonly demandTracker = new DemandBook();
     private readonly catalogues = new CatalogueCache(this.declarations);
-    private readonly drains = new DrainBook(() => this.catalogues.current.drained);
+    private readonly drainTracker = new DrainTracker(() => this.catalogues.current.drained);
     private readonly registrar: Registrar;
     private readonly handler: RequestHandler;
     private replica!: Replica;
-    private controller!: PlacementController;
-    private rpc!: RpcServer;
-    private callers: ReturnType<typeof callerServer> | undefined;
-    private operators!: ReturnType<typeof operatorServer>;
-    private ready = false;
+    private placementController!: PlacementController;
+    private rpcServer!: RpcServer;
+    private callerListener: ReturnType<typeof callerServer> | undefined;
+    private operatorListener!: ReturnType<typeof createOperatorServer>;
+    private isReady = false;
 
     private constructor(private readonly cfg: Settings, private readonly onFatal: (err: Error) => void) {
         const { host, dataCentre, key, role } = cfg;
@@ -115,12 +115,12 @@
         });
     }
 
-    /** Starts the process; returns once it serves. */
+    /** Starts the process and resolves once it serves requests. */
     public static async start(cfg: Settings, onFatal: (err: Error) => void): Promise<ControlProcess> {
         const control = new ControlProcess(cfg, onFatal);
-        await control.openControl();
+        await control.openReplica();
         await control.openListeners();
-        void control.runTasks();
+        void control.runBackgroundTasks();
         await control.becomeReady();
         return control;
     }
@@ -133,31 +133,31 @@
 
     public async stop(): Promise<void> {
         const deadline = Date.now() + this.cfg.limits.drain;
-        this.ready = false;
+        this.isReady = false;
         this.timeline.record("process.stopping");
-        await this.replica.handOver(handOverMs);
-        await sleep(balancerMs);
+        await this.replica.handOver(leadershipTransferTimeoutMs);
+        await sleep(loadBalancerDelayMs);
         await this.closeCallers(deadline);
         this.handler.close();
         this.stopping.abort();
         await this.replica.stop();
-        await this.operators.close();
+        await this.operatorListener.close();
         this.clients.close();
-        await this.rpc.close(balancerMs);
+        await this.rpcServer.close(loadBalancerDelayMs);
     }
 
-    /** Takes no new connections, and lets what runs end until the deadline. */
+    /** Stops accepting connections and waits for running requests until the deadline. */
     private async closeCallers(deadline: number): Promise<void> {
-        if (this.callers === undefined) {
+        if (this.callerListener === undefined) {
             return;
         }
-        const { server } = this.callers;
-        let open = true;
-        const closed = this.callers.close().then(() => {
-            open = false;
+        const { server } = this.callerListener;
+        let isOpen = true;
+        const closed = this.callerListener.close().then(() => {
+            isOpen = false;
         });
-        while (open && Date.now() < deadline) {
-            // What ended after the listener was closed has left its connection open for another request.
+        while (isOpen && Date.now() < deadline) {
+            // Keep-alive connections become idle as requests finish after the listener has closed.
             server.closeIdleConnections();
             await Promise.race([closed, sleep(drainPollMs)]);
         }
@@ -165,7 +165,7 @@
         await closed;
     }
 
-    private async openControl(): Promise<void> {
+    private async openReplica(): Promise<void> {
         const { cfg, clients, timeline } = this;
         const options: Partial<ConsensusOptions> = {
             heartbeatMs: cfg.control.heartbeat,
@@ -175,18 +175,18 @@
         this.replica = await Replica.open({
             identity: { host: cfg.host, url: cfg.peerUrl },
             store: cfg.dataFolder === undefined ? new MemoryLogStore() : new FileLogStore(cfg.dataFolder),
-            machine: new ComposedMachine([this.declarations, this.ledger, this.claims, this.crashes]),
+            machine: new ComposedMachine([this.declarations, this.ledger, this.claims, this.quarantineState]),
             peers: new RpcPeerConnector(clients),
             seeds: cfg.control.seeds,
             timeline,
             options,
             onFatal: this.onFatal,
         });
-        this.controller = this.newController();
+        this.placementController = this.createPlacementController();
     }
 
-    private newController(): PlacementController {
-        const { cfg, replica, ledger, registrar, demand, timeline } = this;
+    private createPlacementController(): PlacementController {
+        const { cfg, replica, ledger, registrar, demandTracker, timeline } = this;
         const { moveCost, storeRate, storeConcurrency } = cfg.placement;
         return new PlacementController({
             log: {
@@ -202,7 +202,7 @@
             registrar,
             orders: new RpcOrderSender(this.clients),
             placer: new IncrementalPlacer(cfg.placement.sparePatience),
-            demand,
+            demand: demandTracker,
             catalogue: () => this.catalogues.current,
             timeline,
             moveCost,
@@ -213,14 +213,14 @@
 
     private async openListeners(): Promise<void> {
         const { cfg, replica, clients, timeline, registrar, declarations, metrics } = this;
-        const answer = reportAnswer(replica, declarations);
-        this.rpc = await RpcServer.listen(cfg.listen.peers, router => {
+        const reportAnswer = createReportAnswer(replica, declarations);
+        this.rpcServer = await RpcServer.listen(cfg.listen.peers, router => {
             router.service(ConsensusService, consensusService(() => replica));
-            router.service(RegistrarService, registrarService(registrar, answer));
-            router.service(PlacementService, placementService(this.demand));
+            router.service(RegistrarService, registrarService(registrar, reportAnswer));
+            router.service(PlacementService, placementService(this.demandTracker));
             router.service(TimelineService, timelineService(timeline));
         }, { key: cfg.key, timeline });
-        this.operators = operatorServer({
+        this.operatorListener = createOperatorServer({
             replica,
             peers: new RpcPeerConnector(clients),
             registrar,
@@ -230,105 +230,105 @@
             clients,
             metrics,
             key: cfg.key,
-            unready: () => this.unready(),
+            unready: () => this.notReadyReason(),
         });
-        await this.operators.listen(cfg.listen.operators!);
+        await this.operatorListener.listen(cfg.listen.operators!);
         replica.start();
     }
 
-    /** Old declarations are never acted on: the first answer waits for a read through a majority. */
+    /** Opens the caller listener only after a linearizable read, so that stale declarations are never served. */
     private async becomeReady(): Promise<void> {
         const { cfg } = this;
         await this.replica.joined(joinTimeoutMs);
         await this.replica.barrier(joinTimeoutMs);
         if (cfg.listen.callers !== undefined) {
-            this.callers = callerServer({
+            this.callerListener = callerServer({
                 handler: this.handler,
                 catalogue: () => this.catalogues.current,
                 table: new RoutingTable({
                     registrar: this.registrar,
                     catalogue: () => this.catalogues.current,
-                    drainedSince: () => this.drains.current(),
+                    drainedSince: () => this.drainTracker.startTimes(),
                 }),
-                unplaceable: model => this.unplaceable(model),
+                unplaceable: model => this.unplaceableReason(model),
                 requestMs: cfg.limits.request,
                 firstTokenMs: cfg.limits.firstToken,
                 bodyBytes: cfg.limits.body,
                 headerBytes: cfg.limits.header,
                 connections: cfg.limits.connections,
             });
-            await this.callers.listen(cfg.listen.callers);
+            await this.callerListener.listen(cfg.listen.callers);
         }
-        this.ready = true;
+        this.isReady = true;
         this.timeline.record("process.ready", { revision: this.declarations.revision });
     }
 
-    private async runTasks(): Promise<void> {
+    private async runBackgroundTasks(): Promise<void> {
         const { signal } = this.stopping;
         await Promise.all([
             this.registrar.run(signal),
-            this.controller.run(signal),
-            this.glueUpstreams(signal),
-            this.glueDeclarations(signal),
+            this.placementController.run(signal),
+            this.watchUpstreams(signal),
+            this.watchDeclarations(signal),
             this.reportDemand(signal),
             this.quarantine.run(signal),
         ]);
     }
 
-    private async glueUpstreams(signal: AbortSignal): Promise<void> {
+    private async watchUpstreams(signal: AbortSignal): Promise<void> {
         while (!signal.aborted) {
-            await this.registrar.changed.wait(glueMs);
+            await this.registrar.changed.wait(changePollMs);
             this.handler.upstreamsChanged();
-            this.controller.wake.notify();
+            this.placementController.wake.notify();
         }
     }
 
-    private async glueDeclarations(signal: AbortSignal): Promise<void> {
-        let shown = 0;
+    private async watchDeclarations(signal: AbortSignal): Promise<void> {
+        let recordedRevision = 0;
         while (!signal.aborted) {
-            await this.declarations.changed.wait(glueMs);
+            await this.declarations.changed.wait(changePollMs);
             const { revision } = this.declarations;
-            if (revision !== shown) {
-                shown = revision;
+            if (revision !== recordedRevision) {
+                recordedRevision = revision;
                 this.timeline.record("revision.in-force", { revision });
                 this.handler.upstreamsChanged();
-                this.controller.wake.notify();
+                this.placementController.wake.notify();
             }
         }
     }
 
-    /** Tells the leader once a second what callers ask for. */
+    /** Reports request demand to the leader periodically. */
     private async reportDemand(signal: AbortSignal): Promise<void> {
         while (!signal.aborted) {
-            await sleep(demandMs, signal);
+            await sleep(demandIntervalMs, signal);
             const models = this.handler.meter.read().map(sample => create(ModelDemandSchema, sample));
             const { leaderUrl } = this.replica.state;
             if (leaderUrl === "" || this.cfg.role !== "entry") {
                 continue;
             }
-            const report = { entry: this.cfg.host, intervalMs: demandMs, models };
-            await this.clients.client(PlacementService, leaderUrl).reportDemand(report, { timeoutMs: demandMs })
-                .catch((err: Error) => this.log("demand not reported", { error: err.message }));
+            const report = { entry: this.cfg.host, intervalMs: demandIntervalMs, models };
+            await this.clients.client(PlacementService, leaderUrl).reportDemand(report, { timeoutMs: demandIntervalMs })
+                .catch((err: Error) => this.log("demand report failed", { error: err.message }));
         }
     }
 
-    private unplaceable(model: Model): string | undefined {
+    private unplaceableReason(model: Model): string | undefined {
         const { current } = this.catalogues;
-        const views = acceleratorViews(this.ledger, this.registrar.live(), current.drained, () => true);
-        const reason = placementReason(model, views, 0);
+        const accelerators = acceleratorViews(this.ledger, this.registrar.live(), current.drained, () => true);
+        const reason = placementReason(model, accelerators, 0);
         return reason.lasting ? reason.text : undefined;
     }
 
-    private unready(): string {
+    private notReadyReason(): string {
         const { state } = this.replica;
-        if (!this.ready) {
+        if (!this.isReady) {
             return this.stopping.signal.aborted ? "stopping" : "starting or stopping";
         }
-        const cutOff = state.role !== "leader" && steadyNow() - state.lastHeard > cutOffMs;
-        return cutOff ? "cut off from the control group" : "";
+        const isCutOff = state.role !== "leader" && steadyNow() - state.lastHeard > leaderTimeoutMs;
+        return isCutOff ? "cut off from the control group" : "";
     }
 
-    private tellQuarantine(event: string, values: EventValues = {}): void {
+    private recordQuarantineEvent(event: string, values: EventValues = {}): void {
         this.timeline.record(event, { detail: JSON.stringify(values) });
     }
 
--- a/packages/winchpathd/src/daemons.ts
+++ b/packages/winchpathd/src/daemons.ts
@@ -1,29 +1,27 @@
-/** Reads the command line, and runs the process that it asks for to its end. */
+/** Parses the command line, starts the requested process and handles its signals and errors. */
 import { Failure, formatIssue, logger, messageOf, StandardEventLog } from "@winchpath/core";
 import { isEndOfSession } from "@winchpath/rpc";
 import { checkEnvironment, loadSettings } from "@winchpath/settings";
-import { isPlatformRole, type PlatformRole, platformRoles, startOnPlatform } from "./platforms.js";
+import { isPlatformRole, type PlatformRole, platformRoles, startPlatformProcess } from "./platforms.js";
 import { onHangUp } from "./signals.js";
 
 const log = logger("winchpathd");
 
-/** Exit codes: a stop as asked, a failure while running, settings or an environment that won't do. */
-const exitStopped = 0;
-const exitFailed = 1;
-const exitSettings = 2;
+const exitCodeStopped = 0;
+const exitCodeFailed = 1;
+const exitCodeInvalidSettings = 2;
 
-/** Reads the command line, and starts what it asks for. */
 export async function runDaemon(args: readonly string[]): Promise<void> {
     const [option, role] = args;
     if (args.length === 2 && option === "--platform" && isPlatformRole(role)) {
-        // How hosts start it: the parser of command lines would take 40 ms of the processor there.
-        await serveOnPlatform(role);
+        // The platform's fixed command line; skips loading yargs to start faster.
+        await runPlatformProcess(role);
         return;
     }
-    await runAsAsked(args);
+    await parseAndRun(args);
 }
 
-async function runAsAsked(args: readonly string[]): Promise<void> {
+async function parseAndRun(args: readonly string[]): Promise<void> {
     const { default: yargs } = await import("yargs");
     const argv = await yargs([...args])
         .scriptName("winchpathd")
@@ -38,65 +36,66 @@
         .parseAsync();
 
     if (argv.platform !== undefined) {
-        await serveOnPlatform(argv.platform);
+        await runPlatformProcess(argv.platform);
     }
     else {
-        await main(argv.settings!);
+        await runConfiguredProcess(argv.settings!);
     }
 }
 
-async function serveOnPlatform(role: PlatformRole): Promise<void> {
-    const events = new StandardEventLog(role);
-    const finish = (code: number, err?: unknown) => {
+async function runPlatformProcess(role: PlatformRole): Promise<void> {
+    const eventLog = new StandardEventLog(role);
+    const exit = (code: number, err?: unknown) => {
         if (err !== undefined) {
-            events.warn("process.failed", {
+            eventLog.warn("process.failed", {
                 error: messageOf(err),
                 stack: err instanceof Error ? err.stack : undefined,
             });
         }
-        events.end();
+        eventLog.end();
         process.exit(code);
     };
-    const fail = (err: unknown) => isEndOfSession(err) ? events.info("session.ended") : finish(exitFailed, err);
-    process.on("unhandledRejection", fail);
-    process.on("uncaughtException", fail);
+    const onUncaughtError = (err: unknown) =>
+        isEndOfSession(err) ? eventLog.info("session.ended") : exit(exitCodeFailed, err);
+    process.on("unhandledRejection", onUncaughtError);
+    process.on("uncaughtException", onUncaughtError);
     try {
-        const running = await startOnPlatform(role, events);
+        const running = await startPlatformProcess(role, eventLog);
         onHangUp(() => running.reload());
         stopOnSignals(async () => {
             await running.stop();
-            events.end();
+            eventLog.end();
         });
     }
     catch (err) {
-        finish(err instanceof Failure ? exitSettings : exitFailed, err);
+        exit(err instanceof Failure ? exitCodeInvalidSettings : exitCodeFailed, err);
     }
 }
 
-async function main(file: string): Promise<void> {
+async function runConfiguredProcess(settingsFile: string): Promise<void> {
     const environment = checkEnvironment(process.env);
-    const settings = loadSettings(file);
+    const settings = loadSettings(settingsFile);
     if (environment.err || settings.err) {
-        end(exitSettings, environment.err ? environment.val : settings.val as Failure);
+        exitWithError(exitCodeInvalidSettings, environment.err ? environment.val : settings.val as Failure);
         return;
     }
-    process.on("unhandledRejection", err => end(exitFailed, err));
+    process.on("unhandledRejection", err => exitWithError(exitCodeFailed, err));
     process.on("uncaughtException", err => {
         if (isEndOfSession(err)) {
-            log("a session has ended", { error: err.message });
+            log("HTTP/2 session closed by peer", { error: err.message });
             return;
         }
-        end(exitFailed, err);
+        exitWithError(exitCodeFailed, err);
     });
     try {
         const { startProcess } = await import("./processes.js");
-        const running = await startProcess(settings.val, err => end(exitFailed, err));
+        const running = await startProcess(settings.val, err => exitWithError(exitCodeFailed, err));
         process.stdout.write(`${running.description}\n`);
-        onHangUp(() => log("settings are read at the start only"));
+        onHangUp(() => log("SIGHUP ignored: settings are read only at startup"));
         stopOnSignals(running.stop.bind(running));
     }
     catch (err) {
-        end(exitFailed, err);
+        exitWithError(exitCodeFailed, err);
     }
 }
 
@@ -107,13 +106,13 @@
             return;
         }
         stopping = true;
-        stop().then(() => process.exit(exitStopped), err => end(exitFailed, err));
+        stop().then(() => process.exit(exitCodeStopped), err => exitWithError(exitCodeFailed, err));
     };
     process.on("SIGTERM", onSignal);
     process.on("SIGINT", onSignal);
 }
 
-function end(code: number, err: unknown): void {
+function exitWithError(code: number, err: unknown): void {
     const lines = err instanceof Failure ? err.issues.map(formatIssue) : [messageOf(err)];
     process.stderr.write(lines.map(line => `winchpathd: ${line}\n`).join(""));
     process.exit(code);
--- a/packages/winchpathd/src/drains.ts
+++ b/packages/winchpathd/src/drains.ts
@@ -1,23 +1,22 @@
-/** Since when this process knows of each drain. */
-
-export class DrainBook {
-    private readonly since = new Map<string, number>();
+/** Tracks when this process first saw each drained upstream. */
+export class DrainTracker {
+    private readonly firstSeenAt = new Map<string, number>();
 
     public constructor(private readonly drained: () => ReadonlySet<string>) {}
 
-    /** Names of drained upstreams, with Date.now() as of when the drain was first seen here. */
-    public current(): ReadonlyMap<string, number> {
+    /** Maps each drained upstream to the time (`Date.now()`) at which the drain was first seen. */
+    public startTimes(): ReadonlyMap<string, number> {
         const drained = this.drained();
         for (const name of drained) {
-            if (!this.since.has(name)) {
-                this.since.set(name, Date.now());
+            if (!this.firstSeenAt.has(name)) {
+                this.firstSeenAt.set(name, Date.now());
             }
         }
-        for (const name of this.since.keys()) {
+        for (const name of this.firstSeenAt.keys()) {
             if (!drained.has(name)) {
-                this.since.delete(name);
+                this.firstSeenAt.delete(name);
             }
         }
-        return this.since;
+        return this.firstSeenAt;
     }
 }
--- a/packages/winchpathd/src/launchers.ts
+++ b/packages/winchpathd/src/launchers.ts
@@ -1,7 +1,6 @@
 /**
- * Starts the bundled program from its code cache: at a share of a core, compiling
- * it anew takes longer than everything else at a start. `node winchpathd.cjs ARGS`
- * runs the program beside it; a cache of another release of Node.js is passed over.
+ * Loads the bundled program with its V8 code cache, since compilation dominates startup
+ * on a fraction of a core. V8 rejects a cache made by another version of Node.js.
  */
 import { readFileSync } from "node:fs";
 import { createRequire } from "node:module";
@@ -9,7 +8,7 @@
 import { Script } from "node:vm";
 import { type loadAll, type run } from "./programs.js";
 
-/** The program and its cache, beside the launcher. */
+/** Names of the program and its code cache, in the launcher's folder. */
 export const programFile = "program.cjs";
 export const cacheFile = "program.cache";
 
@@ -18,15 +17,15 @@
     readonly loadAll: typeof loadAll;
 }
 
-/** Reads and executes the program, with what its cache holds compiled already. */
+/** Evaluates the program as a CommonJS module, using the code cache if it is valid. */
 export function loadProgram(folder: string): { readonly program: Program; readonly script: Script; } {
     const file = join(folder, programFile);
-    // The parameters of Node.js's own wrapper of CommonJS modules.
+    // Same wrapper as Node.js puts around CommonJS modules.
     const source = `(function (exports, require, module, __filename, __dirname) {${readFileSync(file, "utf8")}\n})`;
     const script = new Script(source, { filename: file, cachedData: readCache(folder) });
     const module = { exports: {} as Program };
-    const define = script.runInThisContext() as (...args: unknown[]) => void;
-    define(module.exports, createRequire(file), module, file, folder);
+    const execute = script.runInThisContext() as (...args: unknown[]) => void;
+    execute(module.exports, createRequire(file), module, file, folder);
     return { program: module.exports, script };
 }
 
@@ -35,7 +34,7 @@
         return readFileSync(join(folder, cacheFile));
     }
     catch {
-        // Without one the program is compiled anew, and runs all the same.
+        // The cache is optional: without it the program is compiled at startup.
         return undefined;
     }
 }
--- a/packages/winchpathd/src/main.ts
+++ b/packages/winchpathd/src/main.ts
@@ -1,7 +1,7 @@
 #!/usr/bin/env node
 /**
- * `winchpathd --settings FILE`: one process of the system, in the role that its settings give;
- * `winchpathd --platform ROLE`: one on the users' platform, with the settings that it writes.
+ * `winchpathd --settings FILE` runs the role named in a settings file;
+ * `winchpathd --platform ROLE` runs a role on the users' platform, with the settings file that the platform provides.
  */
 import { run } from "./programs.js";
 
--- a/packages/winchpathd/src/platformcontrols.ts
+++ b/packages/winchpathd/src/platformcontrols.ts
@@ -1,4 +1,4 @@
-/** What a host with a disk does for control on the platform: configuration, upstreams, orders to engines. */
+/** Control component of a platform host with a disk: configuration, upstream registry and engine placement. */
 import { type EntryCounts, LimitBook } from "@winchpath/accounts";
 import { type AvailabilityBook, RateLedger, type RateReport } from "@winchpath/availability";
 import {
@@ -61,129 +61,130 @@
 } from "@winchpath/quarantine";
 import { RpcClients, RpcServer } from "@winchpath/rpc";
 import { Timeline } from "@winchpath/timeline";
-import { type LiveSettings } from "./platformsettings.js";
+import { type ReloadableSettings } from "./platformsettings.js";
 
-/** Heartbeats cost processor time at every control host; three fit into an election time. */
+/** Three heartbeats fit into one election timeout; shorter intervals cost CPU time on every control host. */
 const heartbeatMs = 300;
-/** A failed leader is replaced after one to two of these; acknowledgements are due within a few seconds. */
+/** A failed leader is replaced after one to two election timeouts. */
 const electionMs = 1000;
-/** Documents may be large: the log is kept short. */
+/** Snapshots are frequent because configuration documents, and so log entries, may be large. */
 const snapshotEvery = 64;
 const trailing = 16;
-/** Within this time of its last quorum no other leader can have been elected: orders may be given. */
-const orderQuorumMs = 700;
-/** An operator tries elsewhere after a second without an answer. */
-const callMs = 900;
-const handOverMs = 1500;
-const rpcGraceMs = 300;
-/** Events that are kept in memory; the log has them all. */
-const timelineEvents = 200;
-/** Stands for "not known" where an age is told, in milliseconds. */
-const longestAgeMs = 3_600_000;
-const lookMs = 1000;
-const expireMs = 1000;
-/** A new leader has heard of every upstream by then, in milliseconds: three announcements at the usual 1.2 s. */
-const heardMs = 4000;
-/** All upstreams are looked at this often at most, in milliseconds; a failure that is reported is looked at at once. */
-const reviewMs = 200;
+/** Orders may be sent within this time of the last quorum contact: no other leader can have been elected yet. */
+const maxOrderQuorumAgeMs = 700;
+/** Shorter than the one second after which operators' clients try another host. */
+const callTimeoutMs = 900;
+const leadershipTransferTimeoutMs = 1500;
+const rpcCloseTimeoutMs = 300;
+/** Events kept in memory; the structured log has all of them. */
+const timelineCapacity = 200;
+/** Reported as the quorum age when it is unknown. */
+const unknownAgeMs = 3_600_000;
+const replicaPollMs = 1000;
+const registryPollMs = 1000;
+/** Time in which a new leader receives an announcement of every live upstream: three intervals of 1.2 s. */
+const registryWarmUpMs = 4000;
+/** Limits how often the whole registry is evaluated; reported failures are evaluated immediately. */
+const minEvaluationIntervalMs = 200;
 
 export class PlatformControl implements ControlCalls, FeedControl, DeskControl, PlacementControl {
     private readonly stopping = new AbortController();
     private readonly timeline: Timeline;
     private readonly clients: RpcClients;
     private documents = new Documents();
-    private crashes = new CrashBook();
+    private quarantineState = new CrashBook();
     private readonly registry: Registry;
     private readonly feed: Feed;
-    private readonly desk: AnnouncementDesk;
+    private readonly announcementReceiver: AnnouncementDesk;
     private readonly engines: PlatformEngineCalls;
-    private readonly server;
-    private readonly lease: OrderLease;
+    private readonly httpServer;
+    private readonly orderLease: OrderLease;
     private demand: DemandBook;
-    private limits: LimitBook;
-    private rates: RateLedger;
+    private accountLimits: LimitBook;
+    private rateLimits: RateLedger;
     private readonly keeper: ReplicaKeeper;
-    private keeping: Promise<void> = Promise.resolve();
-    private rpc!: RpcServer;
+    private keeperStopped: Promise<void> = Promise.resolve();
+    private rpcServer!: RpcServer;
     private leadership:
         | {
             readonly epoch: string;
-            readonly end: AbortController;
+            readonly abort: AbortController;
             readonly placement: EnginePlacement;
-            readonly healths: HealthWatch;
-            readonly crashes: CrashWatch;
+            readonly outlierMonitor: HealthWatch;
+            readonly crashMonitor: CrashWatch;
         }
         | undefined;
-    private parsed: { readonly version: number; readonly configuration: Configuration | undefined; } | undefined;
-    private followed = "";
-    private followedConfiguration: Configuration | undefined;
+    private parsedConfig: { readonly version: number; readonly configuration: Configuration | undefined; } | undefined;
+    private lastLoggedLeader = "";
+    private appliedConfiguration: Configuration | undefined;
 
     public constructor(
-        private readonly settings: LiveSettings,
+        private readonly settings: ReloadableSettings,
         availability: AvailabilityBook,
         private readonly metrics: Metrics,
         private readonly log: EventLog,
     ) {
         const { host, dataCentre, control } = settings.current;
-        this.timeline = new Timeline({ process: `control/${host}`, host, dataCentre }, timelineEvents, log);
+        this.timeline = new Timeline({ process: `control/${host}`, host, dataCentre }, timelineCapacity, log);
         this.clients = new RpcClients({ key: undefined, timeline: this.timeline });
-        this.registry = new Registry(log, service => this.serves(service));
-        this.lease = new OrderLease(() => settings.current.orderLeaseMs, log);
+        this.registry = new Registry(log, service => this.isKnownService(service));
+        this.orderLease = new OrderLease(() => settings.current.orderLeaseMs, log);
         this.demand = new DemandBook(log);
-        this.limits = new LimitBook(settings.current.limitTolerance, log);
-        this.rates = this.makeRates();
+        this.accountLimits = new LimitBook(settings.current.limitTolerance, log);
+        this.rateLimits = this.createRateLimits();
         this.feed = new Feed(this.registry, this, log);
-        this.desk = new AnnouncementDesk(this.registry, this.feed, this, this.clients, log);
+        this.announcementReceiver = new AnnouncementDesk(this.registry, this.feed, this, this.clients, log);
         this.engines = new PlatformEngineCalls(availability, {
             leaving: id => this.registry.noteLeaving(id, host),
             limited: (upstream, perSecond) => {
-                this.rates.take(host, [{ kind: "limited", upstream, perSecond, ageMs: 0, wanted: 0, held: 0 }]);
+                this.rateLimits.take(host, [{ kind: "limited", upstream, perSecond, ageMs: 0, wanted: 0, held: 0 }]);
             },
         }, log);
-        this.server = controlServer(this, control!.port, log);
-        this.keeper = this.makeKeeper();
+        this.httpServer = controlServer(this, control!.port, log);
+        this.keeper = this.createKeeper();
     }
 
     public async start(): Promise<void> {
         const { current: cfg } = this.settings;
-        this.rpc = await RpcServer.listen(cfg.peers, router => {
+        this.rpcServer = await RpcServer.listen(cfg.peers, router => {
             router.service(ConsensusService, consensusService(() => this.keeper.require()));
             router.service(FleetService, fleetService(this.fleetParts()));
         }, { key: undefined, timeline: this.timeline });
-        this.keeping = this.keeper.run(this.stopping.signal);
-        void this.followReplica();
-        void this.followRegistry();
-        void this.desk.run(this.stopping.signal);
-        await this.server.listen({ ...cfg.control!, backlog: listenBacklog });
+        this.keeperStopped = this.keeper.run(this.stopping.signal);
+        void this.watchReplica();
+        void this.watchRegistry();
+        void this.announcementReceiver.run(this.stopping.signal);
+        await this.httpServer.listen({ ...cfg.control!, backlog: listenBacklog });
     }
 
-    /** Leadership goes to another host; this one stays a voter until it stops. */
+    /** Transfers leadership to another host; this one remains a voter until `stop`. */
     public async prepareStop(): Promise<void> {
-        await this.replica?.handOver(handOverMs);
+        await this.replica?.handOver(leadershipTransferTimeoutMs);
     }
 
     public async stop(): Promise<void> {
-        await this.replica?.handOver(handOverMs);
+        await this.replica?.handOver(leadershipTransferTimeoutMs);
         this.endLeadership();
-        await this.server.close();
+        await this.httpServer.close();
         this.stopping.abort();
-        await this.keeping;
+        await this.keeperStopped;
         this.clients.close();
         await this.engines.close();
-        await this.rpc.close(rpcGraceMs);
+        await this.rpcServer.close(rpcCloseTimeoutMs);
     }
 
-    /** Undefined while the disk can't be used. */
+    /** Undefined while the data folder is unusable. */
     private get replica(): Replica | undefined {
         return this.keeper.current;
     }
 
-    private makeKeeper(): ReplicaKeeper {
+    private createKeeper(): ReplicaKeeper {
         const { current: cfg } = this.settings;
         return new ReplicaKeeper({
             identity: { host: cfg.host, url: peerUrl(cfg.peers.host, cfg.peers.port) },
             store: () => new FileLogStore(cfg.dataFolder!),
-            machine: () => new ComposedMachine([this.documents = new Documents(), this.crashes = new CrashBook()]),
+            machine: () =>
+                new ComposedMachine([this.documents = new Documents(), this.quarantineState = new CrashBook()]),
             peers: new RpcPeerConnector(this.clients),
             seeds: () => this.settings.current.seeds,
             timeline: this.timeline,
@@ -201,7 +202,7 @@
 
     public async putDocument(document: ConfigurationDocument): Promise<DocumentResult> {
         const startedAt = performance.now();
-        const { result } = await this.keeper.require().propose(encodeCommand("documents", document), callMs);
+        const { result } = await this.keeper.require().propose(encodeCommand("documents", document), callTimeoutMs);
         this.metrics.histogram("document_commit").record(performance.now() - startedAt);
         return JSON.parse(Buffer.from(result).toString()) as DocumentResult;
     }
@@ -212,11 +213,11 @@
     }
 
     public announce(announcement: Announcement): Promise<void> {
-        return this.desk.take(announcement);
+        return this.announcementReceiver.take(announcement);
     }
 
     public leave(incarnation: Incarnation): Promise<void> {
-        return this.desk.leave(incarnation);
+        return this.announcementReceiver.leave(incarnation);
     }
 
     public leaderHost(): string | undefined {
@@ -224,7 +225,7 @@
         return leaderUrl === "" ? undefined : new URL(leaderUrl).hostname;
     }
 
-    /** Announcements are spread over all hosts that follow the leader, which would drown in them alone. */
+    /** Upstreams announce to any host with a known leader, to keep the load of announcements off the leader. */
     public announcementHost(): string | undefined {
         return this.leaderHost() === undefined ? undefined : this.settings.current.control!.host;
     }
@@ -238,10 +239,10 @@
     }
 
     public get quorumAgeMs(): number {
-        return Math.min(longestAgeMs, this.replica?.leading?.majorityAgeMs ?? longestAgeMs);
+        return Math.min(unknownAgeMs, this.replica?.leading?.majorityAgeMs ?? unknownAgeMs);
     }
 
-    /** URL of another host that leads; empty where none is known. */
+    /** URL of the leader; empty if it is this host or unknown. */
     public get leaderUrl(): string {
         const state = this.replica?.state;
         return state === undefined || state.role === "leader" ? "" : state.leaderUrl;
@@ -256,7 +257,7 @@
     }
 
     public get quarantine(): CrashBook {
-        return this.crashes;
+        return this.quarantineState;
     }
 
     public awaitedAt(entry: string): ReadonlySet<string> {
@@ -264,97 +265,97 @@
     }
 
     public async barrier(): Promise<void> {
-        await this.keeper.require().barrier(callMs);
+        await this.keeper.require().barrier(callTimeoutMs);
     }
 
     public async confirmLeadership(timeoutMs: number): Promise<void> {
         const { epoch } = this;
         await this.keeper.require().barrier(timeoutMs);
-        // A host that has been deposed meanwhile passes the barrier by asking the next leader.
+        // A deposed host passes the barrier too, through its successor.
         if (epoch === undefined || this.epoch !== epoch) {
-            throw Failure.of(FailureCode.noLeader, "another leader has followed");
+            throw Failure.of(FailureCode.noLeader, "leadership has passed to another host");
         }
     }
 
     public get epoch(): string | undefined {
         const leading = this.replica?.leading;
-        // A leader that is cut off finds out within an election time; until then it tells nobody anything new.
+        // A leader without quorum contact may have been replaced, so it publishes nothing.
         const valid = leading !== undefined && leading.quorumAgeMs < electionMs;
         return valid ? `${leading.term}/${this.replica!.state.memberId}` : undefined;
     }
 
     public get configuration(): Configuration | undefined {
         const { current } = this.documents;
-        if (current !== undefined && current.version !== this.parsed?.version) {
+        if (current !== undefined && current.version !== this.parsedConfig?.version) {
             const parsed = readCheckedDocument(current.text);
             if (parsed.err) {
                 this.log.warn("configuration.unreadable", { version: current.version, error: parsed.val.message });
             }
             const configuration = parsed.err ? undefined : parsed.val as Configuration;
-            this.parsed = { version: current.version, configuration };
+            this.parsedConfig = { version: current.version, configuration };
         }
-        return this.parsed?.configuration;
+        return this.parsedConfig?.configuration;
     }
 
     private fleetParts() {
         return {
             feed: this.feed,
-            desk: this.desk,
+            desk: this.announcementReceiver,
             demand: { take: (report: Parameters<DemandBook["take"]>[0]) => this.demand.take(report) },
             leads: () => this.leads,
-            lease: this.lease,
-            limits: { take: (told: EntryCounts) => this.limits.take(told) },
-            rates: { take: (from: string, reports: readonly RateReport[]) => this.rates.take(from, reports) },
-            crashes: () => this.leads ? this.leadership?.crashes : undefined,
+            lease: this.orderLease,
+            limits: { take: (told: EntryCounts) => this.accountLimits.take(told) },
+            rates: { take: (from: string, reports: readonly RateReport[]) => this.rateLimits.take(from, reports) },
+            crashes: () => this.leads ? this.leadership?.crashMonitor : undefined,
             demanded: (report: DemandRequest) => {
                 report.mismatches.forEach(mismatch => this.leadership?.placement.doubt(mismatch));
                 report.unreachable.forEach(id => this.registry.unreachable(id, report.entry));
                 report.leaving.forEach(id => this.registry.noteLeaving(id, report.entry));
-                this.leadership?.healths.take(report);
+                this.leadership?.outlierMonitor.take(report);
                 this.leadership?.placement.notify();
             },
         };
     }
 
-    private async followReplica(): Promise<void> {
+    private async watchReplica(): Promise<void> {
         while (!this.stopping.signal.aborted) {
-            await (this.replica ?? this.keeper).changed.wait(lookMs);
-            this.tellLeader();
-            this.followLeadership();
-            this.followConfiguration();
+            await (this.replica ?? this.keeper).changed.wait(replicaPollMs);
+            this.logLeaderChange();
+            this.updateLeadership();
+            this.applyConfiguration();
             this.feed.wake();
             this.leadership?.placement.notify();
         }
     }
 
-    private followConfiguration(): void {
+    private applyConfiguration(): void {
         const { configuration } = this;
-        if (configuration !== undefined && configuration !== this.followedConfiguration) {
-            this.followedConfiguration = configuration;
-            this.limits.follow(configuration.accounts ?? []);
+        if (configuration !== undefined && configuration !== this.appliedConfiguration) {
+            this.appliedConfiguration = configuration;
+            this.accountLimits.follow(configuration.accounts ?? []);
             this.registry.meetStrangers();
         }
     }
 
-    /** Before the first configuration any service may be named by it. */
-    private serves(service: string): boolean {
+    /** Every service counts as known until the first configuration arrives. */
+    private isKnownService(service: string): boolean {
         return this.configuration?.services.some(({ name }) => name === service) ?? true;
     }
 
-    private tellLeader(): void {
+    private logLeaderChange(): void {
         if (this.replica === undefined) {
             return;
         }
         const { role, term, leaderUrl } = this.replica.state;
-        const now = `${term} ${role} ${leaderUrl}`;
-        if (now !== this.followed) {
-            this.followed = now;
+        const leader = `${term} ${role} ${leaderUrl}`;
+        if (leader !== this.lastLoggedLeader) {
+            this.lastLoggedLeader = leader;
             this.metrics.count("leader_changes_total");
             this.log.info("control.leader", { term: Number(term), role, leader: leaderUrl });
         }
     }
 
-    private followLeadership(): void {
+    private updateLeadership(): void {
         const leading = this.replica?.leading;
         const epoch = leading === undefined ? undefined : `${leading.term}/${this.replica!.state.memberId}`;
         if (epoch === this.leadership?.epoch) {
@@ -366,38 +367,43 @@
         }
     }
 
-    /** What an earlier leadership knew of upstreams may be old by now. */
+    /** Discards state from an earlier leadership of this host, which may be stale. */
     private beginLeadership(epoch: string): void {
         this.registry.clear();
         this.demand = new DemandBook(this.log);
-        this.limits = new LimitBook(this.settings.current.limitTolerance, this.log);
-        this.limits.follow(this.configuration?.accounts ?? []);
-        this.rates = this.makeRates();
-        const end = new AbortController();
+        this.accountLimits = new LimitBook(this.settings.current.limitTolerance, this.log);
+        this.accountLimits.follow(this.configuration?.accounts ?? []);
+        this.rateLimits = this.createRateLimits();
+        const abort = new AbortController();
         const placement = new EnginePlacement(this, this.registry, this.demand, this.engines, this.log);
-        const crashes = this.crashWatch();
-        this.leadership = { epoch, end, placement, healths: new HealthWatch(this.registry), crashes };
+        const crashMonitor = this.createCrashMonitor();
+        this.leadership = { epoch, abort, placement, outlierMonitor: new HealthWatch(this.registry), crashMonitor };
         this.log.info("leadership.begun", { epoch });
-        void this.lease.acquire(Number(this.replica!.leading!.term), this.otherUrls(), this.clients, end.signal);
-        void crashes.run(end.signal);
-        placement.run(end.signal).catch(err => this.log.warn("placement.failed", { error: messageOf(err) }));
+        void this.orderLease.acquire(
+            Number(this.replica!.leading!.term),
+            this.otherControlUrls(),
+            this.clients,
+            abort.signal,
+        );
+        void crashMonitor.run(abort.signal);
+        placement.run(abort.signal).catch(err => this.log.warn("placement.failed", { error: messageOf(err) }));
     }
 
-    private makeRates(): RateLedger {
+    private createRateLimits(): RateLedger {
         return new RateLedger(this.log, (id, limited) => this.registry.setLimited(id, limited));
     }
 
-    private crashWatch(): CrashWatch {
+    private createCrashMonitor(): CrashWatch {
         return new CrashWatch({
-            book: () => this.crashes,
-            presence: upstream => this.presenceOf(upstream),
+            book: () => this.quarantineState,
+            presence: upstream => this.upstreamPresence(upstream),
             propose: command => this.proposeQuarantine(command),
             log: this.log,
             metrics: this.metrics,
         });
     }
 
-    private presenceOf(upstream: string): Presence {
+    private upstreamPresence(upstream: string): Presence {
         const known = this.registry.get(upstream)?.upstream;
         if (known !== undefined) {
             return known.state === UpstreamState.DRAINING ? "leaving" : "serving";
@@ -405,16 +411,16 @@
         if (this.registry.wasReplaced(upstream)) {
             return "replaced";
         }
-        return this.ledMs < heardMs ? "unheard" : "gone";
+        return this.ledMs < registryWarmUpMs ? "unheard" : "gone";
     }
 
     private async proposeQuarantine(command: QuarantineCommand): Promise<QuarantineResult> {
-        const { result } = await this.keeper.require().propose(encodeCommand("quarantine", command), callMs);
+        const { result } = await this.keeper.require().propose(encodeCommand("quarantine", command), callTimeoutMs);
         this.feed.wake();
         return JSON.parse(Buffer.from(result).toString()) as QuarantineResult;
     }
 
-    private otherUrls(): string[] {
+    private otherControlUrls(): string[] {
         const { current: cfg } = this.settings;
         const own = peerUrl(cfg.peers.host, cfg.peers.port);
         return this.controlUrls.filter(url => url !== own);
@@ -423,38 +429,38 @@
     private endLeadership(): void {
         if (this.leadership !== undefined) {
             this.log.info("leadership.ended", { epoch: this.leadership.epoch });
-            this.leadership.end.abort();
+            this.leadership.abort.abort();
             this.leadership = undefined;
         }
     }
 
-    /** How often upstreams announce themselves, in milliseconds. */
+    /** Interval of upstream announcements, in milliseconds. */
     public get announceMs(): number {
         return this.settings.current.announceMs;
     }
 
     public gaveOrder(): void {
-        this.lease.gave();
+        this.orderLease.gave();
     }
 
-    /** Orders wait until the earlier leader's lease is over, and need a majority that was heard just now. */
+    /** Undefined unless this leader has recent quorum contact and the previous leader's order lease has expired. */
     public fence(): Fence | undefined {
         const leading = this.replica?.leading;
-        if (leading === undefined || leading.quorumAgeMs > orderQuorumMs) {
+        if (leading === undefined || leading.quorumAgeMs > maxOrderQuorumAgeMs) {
             return undefined;
         }
         const token = Number(leading.term);
-        return this.lease.isOpen(token) ? { holder: this.settings.current.host, token } : undefined;
+        return this.orderLease.isOpen(token) ? { holder: this.settings.current.host, token } : undefined;
     }
 
-    private async followRegistry(): Promise<void> {
-        let reviewedAt = Number.NEGATIVE_INFINITY;
+    private async watchRegistry(): Promise<void> {
+        let evaluatedAt = Number.NEGATIVE_INFINITY;
         while (!this.stopping.signal.aborted) {
-            await this.registry.changed.wait(expireMs);
-            if (steadyNow() - reviewedAt >= reviewMs) {
-                reviewedAt = steadyNow();
+            await this.registry.changed.wait(registryPollMs);
+            if (steadyNow() - evaluatedAt >= minEvaluationIntervalMs) {
+                evaluatedAt = steadyNow();
                 this.registry.expire();
-                this.leadership?.healths.review();
+                this.leadership?.outlierMonitor.review();
             }
             this.feed.wake();
             this.leadership?.placement.notify();
--- a/packages/winchpathd/src/platformentries.ts
+++ b/packages/winchpathd/src/platformentries.ts
@@ -1,4 +1,4 @@
-/** An entry on the platform: takes callers' requests and forwards them. */
+/** Entry component of a platform host: accepts requests from callers and forwards them to upstreams. */
 import { AccountLimiter, Authenticator } from "@winchpath/accounts";
 import { type AvailabilityBook } from "@winchpath/availability";
 import { type EventLog, type Metrics, sleep, steadyNow } from "@winchpath/core";
@@ -15,31 +15,31 @@
 import { isRefused } from "@winchpath/quarantine";
 import { RpcClients } from "@winchpath/rpc";
 import { Timeline } from "@winchpath/timeline";
-import { type LiveSettings } from "./platformsettings.js";
+import { type ReloadableSettings } from "./platformsettings.js";
 
-/** The balancer asks once a second and needs two misses; until then callers still come. */
-const balancerMs = 2500;
-/** Time that a stopping process keeps for itself at the end of its grace. */
-const reserveMs = 700;
-const lookMs = 1000;
+/** Time until the load balancer stops routing here: it checks readiness every second and needs two failures. */
+const loadBalancerDelayMs = 2500;
+/** Part of the grace period reserved for closing down after requests have drained. */
+const shutdownReserveMs = 700;
+const viewPollMs = 1000;
 
 export class PlatformEntry {
     private readonly stopping = new AbortController();
     private readonly clients: RpcClients;
-    private readonly view: FleetView<Configuration>;
-    private readonly follower: FeedFollower<Configuration>;
-    private readonly meter: DemandMeter;
-    private readonly crashes: CrashReporter;
+    private readonly fleetView: FleetView<Configuration>;
+    private readonly feedFollower: FeedFollower<Configuration>;
+    private readonly demandMeter: DemandMeter;
+    private readonly crashReporter: CrashReporter;
     private readonly forwarder: Forwarder;
-    private readonly door: CallerDoor;
+    private readonly clientListener: CallerDoor;
     private readonly authenticator: Authenticator;
-    private readonly limiter: AccountLimiter;
-    private readonly readiness = readinessServer(() => this.isReady());
-    private leaving = false;
+    private readonly accountLimiter: AccountLimiter;
+    private readonly readinessListener = readinessServer(() => this.isReady());
+    private isStopping = false;
     private wasReady = false;
 
     public constructor(
-        private readonly settings: LiveSettings,
+        private readonly settings: ReloadableSettings,
         availability: AvailabilityBook,
         private readonly metrics: Metrics,
         private readonly log: EventLog,
@@ -47,85 +47,95 @@
         const { host, dataCentre, retryBudget } = settings.current;
         const timeline = new Timeline({ process: `entry/${host}`, host, dataCentre });
         this.clients = new RpcClients({ key: undefined, timeline });
-        this.view = new FleetView((text, version) => this.readDocument(text, version), log, availability);
-        this.follower = new FeedFollower(this.view, this.clients, {
+        this.fleetView = new FleetView((text, version) => this.readDocument(text, version), log, availability);
+        this.feedFollower = new FeedFollower(this.fleetView, this.clients, {
             entry: host,
             dataCentre,
-            seeds: () => seedsOf(settings.current),
+            seeds: () => leaderSeeds(settings.current),
         }, log);
-        this.meter = new DemandMeter(log, availability);
-        availability.rates.listen(() => this.meter.press(this.view.entries), () => this.view.changed.notify());
-        this.crashes = new CrashReporter(isRefused, log);
+        this.demandMeter = new DemandMeter(log, availability);
+        availability.rates.listen(
+            () => this.demandMeter.press(this.fleetView.entries),
+            () => this.fleetView.changed.notify(),
+        );
+        this.crashReporter = new CrashReporter(isRefused, log);
         const codec = new PlatformRequestCodec();
-        const stopping = () => this.leaving;
+        const stopping = () => this.isStopping;
         const { revocation, limitTolerance } = settings.current;
-        this.authenticator = new Authenticator(this.view, revocation);
-        this.limiter = new AccountLimiter(limitTolerance, () => this.meter.press(this.view.entries));
-        this.meter.tellOf(this.limiter);
-        const admissions = new Admissions(this.authenticator, this.limiter);
+        this.authenticator = new Authenticator(this.fleetView, revocation);
+        this.accountLimiter = new AccountLimiter(limitTolerance, () => this.demandMeter.press(this.fleetView.entries));
+        this.demandMeter.tellOf(this.accountLimiter);
+        const admissions = new Admissions(this.authenticator, this.accountLimiter);
         this.forwarder = new Forwarder({
-            view: this.view,
+            view: this.fleetView,
             codec,
-            meter: this.meter,
+            meter: this.demandMeter,
             log,
             metrics: this.metrics,
             dataCentre,
             budget: retryBudget,
             admissions,
-            crashes: this.crashes,
+            crashes: this.crashReporter,
+            stopping,
+        });
+        this.clientListener = new CallerDoor({
+            view: this.fleetView,
+            codec,
+            forwarder: this.forwarder,
+            admissions,
+            log,
             stopping,
         });
-        this.door = new CallerDoor({ view: this.view, codec, forwarder: this.forwarder, admissions, log, stopping });
     }
 
     public async start(): Promise<void> {
         const { callers, readiness, host } = this.settings.current;
         const { signal } = this.stopping;
-        void this.follower.run(signal);
-        void this.meter.run(host, this.clients, () => this.follower.followed, signal);
-        void this.crashes.run(host, this.clients, () => this.follower.followed, signal);
-        void this.followView(signal);
-        await this.door.listen(callers!);
-        await this.readiness.listen(readiness!);
+        void this.feedFollower.run(signal);
+        void this.demandMeter.run(host, this.clients, () => this.feedFollower.followed, signal);
+        void this.crashReporter.run(host, this.clients, () => this.feedFollower.followed, signal);
+        void this.watchFleetView(signal);
+        await this.clientListener.listen(callers!);
+        await this.readinessListener.listen(readiness!);
     }
 
     public async stop(): Promise<void> {
         const startedAt = steadyNow();
-        this.leaving = true;
-        await sleep(balancerMs);
-        const left = this.settings.current.graceMs - reserveMs - (steadyNow() - startedAt);
-        await this.door.close(left);
+        this.isStopping = true;
+        await sleep(loadBalancerDelayMs);
+        const remainingMs = this.settings.current.graceMs - shutdownReserveMs - (steadyNow() - startedAt);
+        await this.clientListener.close(remainingMs);
         this.stopping.abort();
         this.forwarder.close();
         this.clients.close();
-        await this.readiness.close();
+        await this.readinessListener.close();
     }
 
-    /** URL of the leader that this entry follows; empty where it follows none. */
+    /** URL of the leader that this entry follows; empty if there is none. */
     public get leaderUrl(): string {
-        return this.follower.leader;
+        return this.feedFollower.leader;
     }
 
-    /** URLs of the control group's members, as a leader told them last. */
+    /** URLs of the control group's members, as last received from a leader. */
     public get controlUrls(): readonly string[] {
-        return this.follower.controlUrls;
+        return this.feedFollower.controlUrls;
     }
 
     private isReady(): boolean {
-        // Without a confirmed word on keys it could only send callers away.
-        const ready = !this.leaving && this.view.configuration !== undefined && this.authenticator.isConfirmed;
+        // Without confirmed API keys every request would be rejected.
+        const ready = !this.isStopping && this.fleetView.configuration !== undefined && this.authenticator.isConfirmed;
         if (ready !== this.wasReady) {
             this.wasReady = ready;
-            this.log.info("entry.ready", { ready, configuration: this.view.version });
+            this.log.info("entry.ready", { ready, configuration: this.fleetView.version });
         }
         return ready;
     }
 
-    private async followView(signal: AbortSignal): Promise<void> {
+    private async watchFleetView(signal: AbortSignal): Promise<void> {
         while (!signal.aborted) {
-            await this.view.changed.wait(lookMs);
-            this.limiter.follow(this.view.configuration?.accounts, this.view.entries);
-            this.door.refresh();
+            await this.fleetView.changed.wait(viewPollMs);
+            this.accountLimiter.follow(this.fleetView.configuration?.accounts, this.fleetView.entries);
+            this.clientListener.refresh();
             this.forwarder.refresh();
         }
     }
@@ -140,8 +150,8 @@
     }
 }
 
-/** Where an entry looks for the leader: first at its own host, where that takes part in control. */
-function seedsOf(cfg: PlatformSettings): readonly string[] {
+/** URLs to query for the leader: this host first, if it is a member of the control group. */
+function leaderSeeds(cfg: PlatformSettings): readonly string[] {
     const own = cfg.control !== undefined && cfg.dataFolder !== undefined
         ? [peerUrl(cfg.peers.host, cfg.peers.port)]
         : [];
--- a/packages/winchpathd/src/platformhosts.ts
+++ b/packages/winchpathd/src/platformhosts.ts
@@ -1,62 +1,60 @@
 /**
- * One process on the platform: an entry, control, or both. A host with a disk
- * that callers reach does both in one process, since a second one would double
- * what a runtime takes of the host's memory.
+ * A platform process with an entry component, a control component, or both. Sharing one
+ * process avoids the memory overhead of a second Node.js runtime.
  */
 import { AvailabilityBook } from "@winchpath/availability";
 import { type EventLog, Metrics } from "@winchpath/core";
 import { metricsServer } from "@winchpath/platform";
 import { type PlatformEntry } from "./platformentries.js";
 import { type PlatformRelay } from "./platformrelays.js";
-import { type LiveSettings } from "./platformsettings.js";
+import { type ReloadableSettings } from "./platformsettings.js";
 
-/** The part of a process that serves control. */
-interface ControlPart {
+interface ControlComponent {
     start(): Promise<void>;
-    /** Called at the start of a stop, while the entry still serves. */
+    /** Called when shutdown begins, while the entry still serves requests. */
     prepareStop(): Promise<void>;
     stop(): Promise<void>;
 }
 
 export class PlatformHost {
     private readonly metrics = new Metrics();
-    /** One for the whole process: a rest is asked of a host, whichever of its parts sends. */
+    /** Shared by both components: upstreams request backoff per host, not per component. */
     private readonly availability = new AvailabilityBook();
     private readonly metricsListener = metricsServer(() => this.metrics.toText());
     private entry: PlatformEntry | undefined;
-    private control: ControlPart | undefined;
+    private control: ControlComponent | undefined;
 
-    public constructor(private readonly settings: LiveSettings, private readonly log: EventLog) {}
+    public constructor(private readonly settings: ReloadableSettings, private readonly log: EventLog) {}
 
-    /** Starts what the settings give addresses for; loads nothing else. */
+    /** Loads and starts only the components that have addresses in the settings. */
     public async start(): Promise<void> {
         const { callers, control, dataFolder, metrics } = this.settings.current;
         if (callers !== undefined) {
             const { PlatformEntry } = await import("./platformentries.js");
             this.entry = new PlatformEntry(this.settings, this.availability, this.metrics, this.log);
-            // Callers are let in before the rest is loaded: at a share of a core that takes a while.
+            // Serve callers before loading control, which is slow on a fraction of a core.
             await this.entry.start();
         }
         if (control !== undefined) {
-            this.control = dataFolder === undefined ? await this.makeRelay() : await this.makeControl();
+            this.control = dataFolder === undefined ? await this.createRelay() : await this.createControl();
         }
         await Promise.all([this.control?.start(), this.metricsListener.listen(metrics)]);
     }
 
-    /** Control stays a voter until the entry has served to its end. */
+    /** Control remains a voter until the entry has drained. */
     public async stop(): Promise<void> {
         await Promise.all([this.control?.prepareStop(), this.entry?.stop()]);
         await this.control?.stop();
         await this.metricsListener.close();
     }
 
-    private async makeControl(): Promise<ControlPart> {
+    private async createControl(): Promise<ControlComponent> {
         const { PlatformControl } = await import("./platformcontrols.js");
         return new PlatformControl(this.settings, this.availability, this.metrics, this.log);
     }
 
-    /** Without an entry beside it, a host without a disk knows of no leader and says so. */
-    private async makeRelay(): Promise<PlatformRelay> {
+    /** A relay learns the leader from this host's entry; without an entry it reports that no leader is known. */
+    private async createRelay(): Promise<PlatformRelay> {
         const { PlatformRelay } = await import("./platformrelays.js");
         return new PlatformRelay(this.settings, this.entry ?? { leaderUrl: "", controlUrls: [] }, this.log);
     }
--- a/packages/winchpathd/src/platformrelays.ts
+++ b/packages/winchpathd/src/platformrelays.ts
@@ -1,17 +1,17 @@
-/** What a host without a disk does for control on the platform: it leads everyone on to the leader. */
+/** Control component of a platform host without a disk: redirects clients to the leader. */
 import { ConsensusRelay, ConsensusService } from "@winchpath/consensus";
 import { type EventLog, listenBacklog } from "@winchpath/core";
 import { AnnouncementGatherer, AnnouncementRelay, FleetService, incarnationId } from "@winchpath/fleet";
 import { relayServer } from "@winchpath/platform";
 import { RpcClients, RpcServer } from "@winchpath/rpc";
 import { Timeline } from "@winchpath/timeline";
-import { type LiveSettings } from "./platformsettings.js";
+import { type ReloadableSettings } from "./platformsettings.js";
 
-const rpcGraceMs = 300;
+const rpcCloseTimeoutMs = 300;
 
-/** Where the leader is, as far as the host's entry knows. */
-export interface LeaderKnowledge {
-    /** Empty where none is known. */
+/** The leader as known to this host's entry. */
+export interface LeaderInfo {
+    /** Empty if unknown. */
     readonly leaderUrl: string;
     readonly controlUrls: readonly string[];
 }
@@ -19,30 +19,30 @@
 export class PlatformRelay {
     private readonly timeline: Timeline;
     private readonly clients: RpcClients;
-    private readonly server;
-    private readonly gatherer: AnnouncementGatherer;
+    private readonly httpServer;
+    private readonly announcementBatcher: AnnouncementGatherer;
     private readonly stopping = new AbortController();
-    private rpc: RpcServer | undefined;
+    private rpcServer: RpcServer | undefined;
 
     public constructor(
-        private readonly settings: LiveSettings,
-        private readonly known: LeaderKnowledge,
+        private readonly settings: ReloadableSettings,
+        private readonly leaderInfo: LeaderInfo,
         log: EventLog,
     ) {
         const { host, dataCentre, control } = settings.current;
         this.timeline = new Timeline({ process: `relay/${host}`, host, dataCentre });
         this.clients = new RpcClients({ key: undefined, timeline: this.timeline });
-        const announcements = new AnnouncementRelay(known, this.clients);
-        this.gatherer = new AnnouncementGatherer(announcements, log);
-        this.server = relayServer(
+        const announcements = new AnnouncementRelay(leaderInfo, this.clients);
+        this.announcementBatcher = new AnnouncementGatherer(announcements, log);
+        this.httpServer = relayServer(
             {
-                announce: announcement => this.gatherer.announce(announcement),
+                announce: announcement => this.announcementBatcher.announce(announcement),
                 leave: incarnation => {
-                    this.gatherer.forget(incarnationId(incarnation));
+                    this.announcementBatcher.forget(incarnationId(incarnation));
                     return announcements.leave(incarnation);
                 },
-                announcementHost: () => known.leaderUrl === "" ? undefined : control!.host,
-                leaderHost: () => known.leaderUrl === "" ? undefined : new URL(known.leaderUrl).hostname,
+                announcementHost: () => leaderInfo.leaderUrl === "" ? undefined : control!.host,
+                leaderHost: () => leaderInfo.leaderUrl === "" ? undefined : new URL(leaderInfo.leaderUrl).hostname,
             },
             control!.port,
             log,
@@ -51,31 +51,31 @@
 
     public async start(): Promise<void> {
         const { peers, control, host } = this.settings.current;
-        const { known } = this;
+        const { leaderInfo } = this;
         const relay = new ConsensusRelay({
             host,
-            leaderUrl: () => known.leaderUrl,
-            memberUrls: () => known.controlUrls,
+            leaderUrl: () => leaderInfo.leaderUrl,
+            memberUrls: () => leaderInfo.controlUrls,
             mayForm: () => this.settings.current.firstStart,
         });
-        this.rpc = await RpcServer.listen(peers, router => {
+        this.rpcServer = await RpcServer.listen(peers, router => {
             router.service(ConsensusService, relay.service());
             router.service(FleetService, {
-                // Entries that are told of no other hosts find the leader through these.
-                poll: () => ({ notLeader: true, leaderUrl: known.leaderUrl, controlUrls: [...relay.knownUrls] }),
+                // Lets entries that have only this host as a seed find the leader.
+                poll: () => ({ notLeader: true, leaderUrl: leaderInfo.leaderUrl, controlUrls: [...relay.knownUrls] }),
             });
         }, { key: undefined, timeline: this.timeline });
-        void this.gatherer.run(this.stopping.signal);
-        await this.server.listen({ ...control!, backlog: listenBacklog });
+        void this.announcementBatcher.run(this.stopping.signal);
+        await this.httpServer.listen({ ...control!, backlog: listenBacklog });
     }
 
-    /** Nothing is to be handed over. */
+    /** A relay has no leadership to transfer. */
     public async prepareStop(): Promise<void> {}
 
     public async stop(): Promise<void> {
         this.stopping.abort();
-        await this.server.close();
+        await this.httpServer.close();
         this.clients.close();
-        await this.rpc?.close(rpcGraceMs);
+        await this.rpcServer?.close(rpcCloseTimeoutMs);
     }
 }
--- a/packages/winchpathd/src/platformsettings.ts
+++ b/packages/winchpathd/src/platformsettings.ts
@@ -1,13 +1,12 @@
-/** The platform's settings, as they are now: the file changes with a signal or without. */
+/** Platform settings that are reloaded on SIGHUP or when the file changes. */
 import { type EventLog, sleep } from "@winchpath/core";
 import { loadPlatformSettings, type PlatformSettings } from "@winchpath/platform";
 import { stat } from "node:fs/promises";
 
-/** How often the file is looked at, in milliseconds; what it tells may be three seconds old itself. */
-const lookMs = 1000;
+const filePollMs = 1000;
 
-export class LiveSettings {
-    private modifiedMs = 0;
+export class ReloadableSettings {
+    private lastModifiedMs = 0;
 
     public constructor(
         private readonly path: string,
@@ -15,12 +14,12 @@
         private readonly log: EventLog,
     ) {}
 
-    /** What was read last. Addresses and the host's name hold from the start of a process to its end. */
+    /** The latest valid settings. Addresses and the host name must not change while the process runs. */
     public get current(): PlatformSettings {
         return this.settings;
     }
 
-    /** Reads the file again. A file that can't be used leaves what was read before in force. */
+    /** Reloads the file; if it is invalid, the previous settings stay in force. */
     public reload(why: string): void {
         const loaded = loadPlatformSettings(this.path);
         if (loaded.err) {
@@ -31,26 +30,26 @@
         this.log.info("settings.reloaded", { why, seeds: this.settings.seeds });
     }
 
-    /** Looks for changes without a signal until the signal is aborted. */
+    /** Polls the file's modification time and reloads it on change, until aborted. */
     public async run(signal: AbortSignal): Promise<void> {
-        this.modifiedMs = await this.modified();
+        this.lastModifiedMs = await this.readModifiedMs();
         while (!signal.aborted) {
-            await sleep(lookMs, signal);
-            const modifiedMs = await this.modified();
-            if (modifiedMs !== this.modifiedMs) {
-                this.modifiedMs = modifiedMs;
-                this.reload("the file has changed");
+            await sleep(filePollMs, signal);
+            const modifiedMs = await this.readModifiedMs();
+            if (modifiedMs !== this.lastModifiedMs) {
+                this.lastModifiedMs = modifiedMs;
+                this.reload("file modified");
             }
         }
     }
 
-    private async modified(): Promise<number> {
+    private async readModifiedMs(): Promise<number> {
         try {
             return (await stat(this.path)).mtimeMs;
         }
         catch {
-            // It is being replaced; the next look finds it.
-            return this.modifiedMs;
+            // The file is being replaced; the next poll finds the new one.
+            return this.lastModifiedMs;
         }
     }
 }
--- a/packages/winchpathd/src/programs.ts
+++ b/packages/winchpathd/src/programs.ts
@@ -1,16 +1,12 @@
-/**
- * The program as one script: what the bundle exports. Nothing but signals are
- * handled before {@link run}.
- */
+/** Exports of the bundled program. Importing it only installs the SIGHUP handler. */
 import "./signals.js";
 
-/** Runs the process that the command line asks for. */
 export async function run(args: readonly string[]): Promise<void> {
     const { runDaemon } = await import("./daemons.js");
     await runDaemon(args);
 }
 
-/** Loads every part of the platform's roles, so that a code cache made afterwards holds them. */
+/** Loads all modules of the platform roles, so that a code cache created afterwards includes them. */
 export async function loadAll(): Promise<void> {
     await Promise.all([
         import("./daemons.js"),
--- a/packages/winchpathd/src/signals.ts
+++ b/packages/winchpathd/src/signals.ts
@@ -1,25 +1,25 @@
 /**
- * SIGHUP, from the first moment on: left alone it would end a process that is
- * still loading. Imported before everything else; what comes while the runtime itself
- * starts, in its first tens of milliseconds, can't be caught.
+ * Handles SIGHUP from the start, since its default action would terminate a process that is
+ * still loading. Import this module first. A signal that arrives before the Node.js runtime
+ * has started can't be caught.
  */
 
-let missed = false;
+let isSignalPending = false;
 let handler: (() => void) | undefined;
 
 process.on("SIGHUP", () => {
     if (handler === undefined) {
-        missed = true;
+        isSignalPending = true;
         return;
     }
     handler();
 });
 
-/** Calls `reload` at each SIGHUP from now on, and once where one came before. */
+/** Calls `reload` on each SIGHUP, and immediately if one has already arrived. */
 export function onHangUp(reload: () => void): void {
     handler = reload;
-    if (missed) {
-        missed = false;
+    if (isSignalPending) {
+        isSignalPending = false;
         reload();
     }
 }
