--- a/packages/requests/src/attempts.ts
+++ b/packages/requests/src/attempts.ts
@@ -37,7 +37,7 @@
         this.router.ejections.sent(upstream);
         this.router.availability.sent(incarnation);
         const result: { value: AttemptResult; } = {
-            value: { tag: "lost", message: "connection closed before the end of the response" },
+            value: { tag: "lost", message: "the connection ended" },
         };
         try {
             yield* this.monitor.run(
@@ -87,7 +87,7 @@
             }
             result.value = {
                 tag: "lost",
-                message: leaseLost.aborted ? "agent lease expired" : messageOf(err),
+                message: leaseLost.aborted ? "the agent's lease has run out" : messageOf(err),
             };
         }
         finally {
--- a/packages/requests/src/callers.ts
+++ b/packages/requests/src/callers.ts
@@ -69,7 +69,7 @@
 
 function writeHead(reply: FastifyReply, event: ResponseEvent | void, requestId: string): void {
     if (event?.tag !== "head") {
-        throw new RequestFailure(ProblemCode.upstreamLost, "unknown", "response has no head");
+        throw new RequestFailure(ProblemCode.upstreamLost, "unknown", "the answer has no head");
     }
     for (const { name, value } of event.headers) {
         reply.raw.appendHeader(name, value);
@@ -123,7 +123,7 @@
 }
 
 function notFound(req: FastifyRequest): RequestFailure {
-    return new RequestFailure(ProblemCode.unknownTarget, "not-run", `no route for ${req.method} ${req.url}`);
+    return new RequestFailure(ProblemCode.unknownTarget, "not-run", `nothing is served at ${req.method} ${req.url}`);
 }
 
 function listModels(options: ClientServerOptions) {
--- a/packages/requests/src/executions.ts
+++ b/packages/requests/src/executions.ts
@@ -98,7 +98,7 @@
                     tag: "refused",
                     refusal: Refusal.FENCED,
                     revision: 0,
-                    message: "attempt was never started",
+                    message: "it never began",
                     restMs: 0,
                 };
             }
@@ -149,7 +149,7 @@
         const { job } = this;
         this.mayHaveRun ||= result.tag !== "refused";
         if (job.signal.aborted) {
-            throw this.failure(ProblemCode.callerLeft, "client disconnected");
+            throw this.failure(ProblemCode.callerLeft, "the caller left");
         }
         if (Date.now() >= job.deadline) {
             throw this.failure(ProblemCode.deadline, detailOf(result));
@@ -157,7 +157,7 @@
         if (result.tag === "different") {
             throw this.failure(
                 ProblemCode.upstreamLost,
-                "response was interrupted, and the retry returned a different response",
+                "the answer broke off, and another attempt began otherwise",
             );
         }
         const upstreamCrashed = result.tag === "broken" && result.upstreamEnd !== "";
@@ -166,7 +166,7 @@
             upstreamCrashed
             && (this.upstreamCrashes >= mostEndsOfOneRequest || this.dependencies.quarantine.isSuspected(job))
         ) {
-            throw this.failure(ProblemCode.upstreamLost, "upstreams have crashed while running this request");
+            throw this.failure(ProblemCode.upstreamLost, "upstreams ended under this request before");
         }
         if (result.tag !== "refused" && !job.repeatable) {
             throw this.failure(ProblemCode.upstreamLost, detailOf(result));
@@ -177,7 +177,7 @@
         }
         this.attemptedReplicas.set(replica.upstream, replica.sequence);
         if (!this.dependencies.budget.tryWithdraw()) {
-            throw this.failure(ProblemCode.overloaded, "retry budget exhausted", retryAfterMs);
+            throw this.failure(ProblemCode.overloaded, "no retries are left in the budget", retryAfterMs);
         }
         this.dependencies.metrics.count("retries_total", { resource: job.resource });
     }
@@ -207,5 +207,5 @@
 }
 
 function detailOf(result: Exclude<AttemptResult, { tag: "whole"; }>): string {
-    return result.tag === "different" ? "retry returned a different response" : result.message;
+    return result.tag === "different" ? "the answer began otherwise" : result.message;
 }
--- a/packages/requests/src/handlers.ts
+++ b/packages/requests/src/handlers.ts
@@ -84,7 +84,7 @@
     /** Yields the complete response; throws a `RequestFailure` otherwise. */
     public async *handle(job: Job): AsyncGenerator<ResponseEvent> {
         if (this.stopping) {
-            throw new RequestFailure(ProblemCode.stopping, "not-run", "entry is shutting down", 1000);
+            throw new RequestFailure(ProblemCode.stopping, "not-run", "the entry is stopping", 1000);
         }
         const startedAt = performance.now();
         let started = false;
--- a/packages/requests/src/keyed.ts
+++ b/packages/requests/src/keyed.ts
@@ -63,7 +63,7 @@
                     throw new RequestFailure(
                         ProblemCode.keyReused,
                         "not-run",
-                        "idempotency key was used for a different request",
+                        "the key was used for another request",
                     );
                 case "free":
                     step = await this.claim();
@@ -77,7 +77,7 @@
             }
         }
         if (step.tag !== "whole") {
-            throw this.failure("request was repeatedly reassigned to other entries");
+            throw this.failure("others kept taking the request over");
         }
     }
 
@@ -92,7 +92,7 @@
             return this.reassign(claim);
         }
         this.mayHaveRun = true;
-        throw this.failure(result.tag === "different" ? "attempt returned a different response" : result.message);
+        throw this.failure(result.tag === "different" ? "the answer began otherwise" : result.message);
     }
 
     /** Follows another entry's attempt; takes over only once that attempt is certain never to run. */
@@ -115,7 +115,7 @@
         if (status === "unknown") {
             throw claim.ran
                 ? responseNotStored()
-                : this.failure("agent that had the request cannot report its outcome");
+                : this.failure("the upstream that had the request does not answer for it");
         }
         const result = yield* this.attempt(plan);
         if (result.tag === "whole") {
@@ -123,7 +123,7 @@
         }
         throw result.tag === "refused" || claim.ran
             ? responseNotStored()
-            : this.failure(result.tag === "different" ? "attempt returned a different response" : result.message);
+            : this.failure(result.tag === "different" ? "the answer began otherwise" : result.message);
     }
 
     /** Attaches to another entry's attempt; gives that entry some time to send it before it is fenced. */
@@ -158,13 +158,13 @@
 
     private async admitRetry(): Promise<RoutedReplica> {
         if (this.job.signal.aborted) {
-            throw new RequestFailure(ProblemCode.callerLeft, "not-run", "client disconnected");
+            throw new RequestFailure(ProblemCode.callerLeft, "not-run", "the caller left");
         }
         if (!this.dependencies.budget.tryWithdraw()) {
             throw new RequestFailure(
                 ProblemCode.overloaded,
                 "not-run",
-                "retry budget exhausted",
+                "no retries are left in the budget",
                 retryAfterMs,
             );
         }
@@ -284,7 +284,7 @@
     return new RequestFailure(
         ProblemCode.answerLost,
         "ran",
-        "request has already run, and its response is no longer stored",
+        "it ran before, and its answer is not kept any more",
     );
 }
 
--- a/packages/requests/src/parsers.ts
+++ b/packages/requests/src/parsers.ts
@@ -68,7 +68,7 @@
 export function parseServiceCall(req: FastifyRequest, signal: AbortSignal, context: ParseContext): Job {
     const { name, "*": rest } = req.params as { name: string; "*": string; };
     if (!context.catalogue().services.has(name)) {
-        throw new RequestFailure(ProblemCode.unknownTarget, "not-run", `service ${name} is not declared`);
+        throw new RequestFailure(ProblemCode.unknownTarget, "not-run", `no service ${name} is declared`);
     }
     const common = commonJob(req, signal, context, idempotentMethods.has(req.method));
     const query = req.url.includes("?") ? req.url.slice(req.url.indexOf("?")) : "";
@@ -97,7 +97,7 @@
         throw new RequestFailure(
             ProblemCode.invalid,
             "not-run",
-            `${idempotencyKeyHeader} must have 1 to ${maxKeyLength} characters`,
+            `${idempotencyKeyHeader} has 1 to ${maxKeyLength} characters`,
         );
     }
     const caller = firstHeaderValue(req, callerHeader) ?? digest(firstHeaderValue(req, "authorization") ?? req.ip);
@@ -121,7 +121,7 @@
 function findTarget(context: ParseContext, name: string): Target {
     const target = context.catalogue().target(name);
     if (target === undefined) {
-        throw new RequestFailure(ProblemCode.unknownTarget, "not-run", `model or adapter ${name} is not declared`);
+        throw new RequestFailure(ProblemCode.unknownTarget, "not-run", `no model or adapter ${name} is declared`);
     }
     return target;
 }
@@ -135,7 +135,7 @@
         throw new RequestFailure(
             ProblemCode.invalid,
             "not-run",
-            `${timeoutHeader} must be a positive number of milliseconds`,
+            `${timeoutHeader} is a number of milliseconds`,
         );
     }
     return Math.min(maxMs, Number(requested));
@@ -146,7 +146,7 @@
         return JSON.parse((body ?? Buffer.alloc(0)).toString());
     }
     catch {
-        throw new RequestFailure(ProblemCode.invalid, "not-run", "request body is not valid JSON");
+        throw new RequestFailure(ProblemCode.invalid, "not-run", "the body is not JSON");
     }
 }
 
--- a/packages/requests/src/quarantines.ts
+++ b/packages/requests/src/quarantines.ts
@@ -47,7 +47,7 @@
         if (listed?.standing !== "barred") {
             return undefined;
         }
-        const detail = `${listed.occasions} upstreams crashed while running this request (${listed.fingerprint})`;
+        const detail = `${listed.occasions} upstreams ended when they ran this request (${listed.fingerprint})`;
         return new RequestFailure(ProblemCode.endsUpstreams, mayHaveRun ? "ran" : "not-run", detail);
     }
 
--- a/packages/requests/src/queues.ts
+++ b/packages/requests/src/queues.ts
@@ -89,7 +89,7 @@
                     new RequestFailure(
                         ProblemCode.noReplica,
                         "not-run",
-                        "no replica became ready in time",
+                        "no replica was ready in time",
                         noReplicaRetryMs,
                     ),
                 );
@@ -101,7 +101,7 @@
                 this.fail(
                     entry,
                     overloadFailure(
-                        "no replica had free capacity in time",
+                        "no replica had room in time",
                         this.expectedWaitMs(job) + this.meanServiceMs,
                     ),
                 );
@@ -112,7 +112,7 @@
     /** Rejects all queued requests at shutdown. */
     public close(): void {
         for (const entry of [...this.queued]) {
-            this.fail(entry, new RequestFailure(ProblemCode.stopping, "not-run", "entry is shutting down", 1000));
+            this.fail(entry, new RequestFailure(ProblemCode.stopping, "not-run", "the entry is stopping", 1000));
         }
     }
 
@@ -123,13 +123,13 @@
             throw new RequestFailure(ProblemCode.noReplica, "not-run", reason, unplaceableRetryMs);
         }
         if (this.queued.length >= this.limit) {
-            throw overloadFailure(`queue is full: ${this.limit} requests wait already`, this.expectedWaitMs(job));
+            throw overloadFailure(`${this.limit} requests wait already`, this.expectedWaitMs(job));
         }
         const expectedMs = this.expectedWaitMs(job);
         const remaining = job.startBy - Date.now();
         if (expectedMs > remaining) {
             throw overloadFailure(
-                `expected wait of ${Math.round(expectedMs)} ms is over the ${Math.round(remaining)} ms left`,
+                `the wait of about ${Math.round(expectedMs)} ms is over the ${Math.round(remaining)} ms there are`,
                 expectedMs,
             );
         }
@@ -203,7 +203,7 @@
 
 function backoffFailure(until: number): RequestFailure {
     const retryAfterMs = Math.max(0, until - steadyNow()) * (1 + retryJitter * Math.random());
-    return overloadFailure("all replicas have asked clients to back off", retryAfterMs);
+    return overloadFailure("all replicas have asked for rest", retryAfterMs);
 }
 
 function overloadFailure(detail: string, retryAfterMs: number): RequestFailure {
--- a/packages/requests/src/readers.ts
+++ b/packages/requests/src/readers.ts
@@ -95,10 +95,10 @@
 
     private finalResult(bodyBytes: number): AttemptResult {
         if (bodyBytes !== this.receivedBytes || !this.replay.done) {
-            return brokenResult(`received ${this.receivedBytes} of ${bodyBytes} bytes`);
+            return brokenResult(`${this.receivedBytes} of ${bodyBytes} bytes came`);
         }
         if (this.needsEndMarker && !this.progress.endsWith(endMarker)) {
-            return brokenResult("stream ended without its end marker");
+            return brokenResult("the stream ended without its end mark");
         }
         return { tag: "whole" };
     }
--- a/packages/upstream/src/agents.ts
+++ b/packages/upstream/src/agents.ts
@@ -182,7 +182,7 @@
             return { refusal: Refusal.INCARNATION, message: "the agent has restarted" };
         }
         if (this.sequencer.ageOf(Number(req.seenReport)) > lateAfterMs) {
-            return { refusal: Refusal.LATE, message: "the entry chose this upstream by a report that is too old" };
+            return { refusal: Refusal.LATE, message: "the entry acted on a report that is too old" };
         }
         if (Number(req.revision) < knownRevision) {
             return {
@@ -195,7 +195,7 @@
             return { refusal: Refusal.LEAVING, message: "the upstream is leaving" };
         }
         if (table.running >= this.cfg.concurrency * maxConcurrencyFactor) {
-            return { refusal: Refusal.OVERLOADED, message: "the upstream has too many running requests" };
+            return { refusal: Refusal.OVERLOADED, message: "the upstream has too much to do" };
         }
         return undefined;
     };
--- a/packages/upstream/src/records.ts
+++ b/packages/upstream/src/records.ts
@@ -167,7 +167,7 @@
 
 /** A refusal for a response that is not retained; the request may still have run. */
 export function responseNotRetained(): RunChunk {
-    return refusedChunk({ refusal: Refusal.UNKNOWN_REQUEST, message: "the response is no longer available" });
+    return refusedChunk({ refusal: Refusal.UNKNOWN_REQUEST, message: "the answer is not kept any more" });
 }
 
 /** Why a request was not started. */
--- a/packages/upstream/src/runners.ts
+++ b/packages/upstream/src/runners.ts
@@ -77,7 +77,7 @@
             void this.execute(record, req);
         }
         else if (record.outcome === FenceOutcome.NEVER) {
-            yield refusedChunk({ refusal: Refusal.FENCED, message: "the attempt was fenced or refused earlier" });
+            yield refusedChunk({ refusal: Refusal.FENCED, message: "this attempt was fenced off" });
             return;
         }
         try {
@@ -133,7 +133,7 @@
     private async receive(record: RunRecord, response: UpstreamAnswer): Promise<void> {
         this.applySignals(response);
         if (response.headers[notStartedHeader] !== undefined) {
-            const message = `the upstream did not start the request (status ${response.status})`;
+            const message = `the upstream did not start it (${response.status})`;
             this.table.refuse(record, this.backoffRefusal() ?? { refusal: refusalForStatus(response.status), message });
             await response.discard();
             return;
@@ -171,7 +171,7 @@
         const restMs = until - steadyNow();
         return {
             refusal: Refusal.RESTING,
-            message: `the upstream accepts no requests for another ${restMs} ms`,
+            message: `the upstream rests for ${restMs} ms`,
             restMs,
         };
     }
