--- a/packages/consensus/src/appliers.ts
+++ b/packages/consensus/src/appliers.ts
@@ -32,7 +32,7 @@
     public waitForEntry(index: bigint, term: bigint): Promise<ApplyResult> {
         const done = new Deferred<ApplyResult>();
         this.pendingProposals.get(index)?.done.reject(
-            Failure.of(FailureCode.noLeader, "the proposal was truncated from the log"),
+            Failure.of(FailureCode.noLeader, "the proposal was cut from the log"),
         );
         this.pendingProposals.set(index, { term, done });
         return done.promise;
@@ -44,7 +44,7 @@
             () => this.state.appliedIndex >= index,
             this.applied,
             timeoutMs,
-            "applying the log up to the requested index",
+            "catching up with the log",
         );
     }
 
@@ -73,7 +73,7 @@
                 pending.done.reject(
                     Failure.of(
                         FailureCode.outcomeUnknown,
-                        "a snapshot replaced the log before the result of the proposal was known",
+                        "a snapshot passed over the proposal",
                     ),
                 );
             }
@@ -103,7 +103,7 @@
         }
         else {
             pending.done.reject(
-                Failure.of(FailureCode.noLeader, "the proposal was overwritten by an entry of another leader"),
+                Failure.of(FailureCode.noLeader, "another leader's entry took the place of the proposal"),
             );
         }
     }
--- a/packages/consensus/src/keepers.ts
+++ b/packages/consensus/src/keepers.ts
@@ -36,7 +36,7 @@
     /** Returns the running replica; throws a `Failure` while its store is unavailable. */
     public require(): Replica {
         if (this.replica === undefined) {
-            throw Failure.of(FailureCode.noLeader, "the replica's log store is unavailable");
+            throw Failure.of(FailureCode.noLeader, "the log can't be used at the moment");
         }
         return this.replica;
     }
--- a/packages/consensus/src/leaderships.ts
+++ b/packages/consensus/src/leaderships.ts
@@ -66,7 +66,7 @@
             () => this.ready || !this.active,
             this.applier.applied,
             timeoutMs,
-            "committing the leader's first entry",
+            "the leader's first entry",
         );
         const index = this.state.commitIndex;
         this.heartbeatRound += 1n;
--- a/packages/consensus/src/machines.ts
+++ b/packages/consensus/src/machines.ts
@@ -48,7 +48,7 @@
         if (machine === undefined) {
             throw Failure.of(
                 FailureCode.invalid,
-                `unknown state slice ${envelope.slice}; this version is older than the log`,
+                `no slice ${envelope.slice}; this process is older than the log`,
             );
         }
         return encodeJson(machine.apply(envelope.command, context) ?? {});
--- a/packages/consensus/src/memberships.ts
+++ b/packages/consensus/src/memberships.ts
@@ -136,7 +136,7 @@
             () => !leader.active || this.canChange(),
             applier.applied,
             timeoutMs,
-            "the preceding membership change",
+            "the change before",
         );
         if (!leader.active) {
             throw Failure.of(FailureCode.noLeader, "leadership was lost");
--- a/packages/consensus/src/relays.ts
+++ b/packages/consensus/src/relays.ts
@@ -36,7 +36,7 @@
 
     public service(): Partial<ServiceImpl<typeof ConsensusService>> {
         const rejectWithoutLog = () => {
-            throw new ConnectError("this host has no replica of the log", Code.FailedPrecondition);
+            throw new ConnectError("no log is kept here", Code.FailedPrecondition);
         };
         return {
             vote: rejectWithoutLog,
--- a/packages/consensus/src/replicas.ts
+++ b/packages/consensus/src/replicas.ts
@@ -212,7 +212,7 @@
 
     private async proposeOnce(command: Uint8Array, timeoutMs: number): Promise<ApplyResult> {
         if (this.leadership?.active) {
-            return withTimeout(this.leadership.propose(command), timeoutMs, "committing the command");
+            return withTimeout(this.leadership.propose(command), timeoutMs, "a majority's answer");
         }
         return this.leaderPeer().propose(command, timeoutMs);
     }
--- a/packages/core/src/tasks.ts
+++ b/packages/core/src/tasks.ts
@@ -69,7 +69,7 @@
 export async function withTimeout<T>(promise: Promise<T>, ms: number, operation: string): Promise<T> {
     const timeout = new Deferred<T>();
     const timer = setTimeout(
-        () => timeout.reject(Failure.of(FailureCode.timeout, `${operation} timed out after ${ms} ms`)),
+        () => timeout.reject(Failure.of(FailureCode.timeout, `${operation} took over ${ms} ms`)),
         ms,
     );
     try {
@@ -86,7 +86,7 @@
     while (!condition()) {
         const left = deadline - steadyNow();
         if (left <= 0) {
-            throw Failure.of(FailureCode.timeout, `${operation} timed out after ${ms} ms`);
+            throw Failure.of(FailureCode.timeout, `${operation} took over ${ms} ms`);
         }
         await event.wait(left);
     }
