--- a/packages/declarations/src/accounts.ts
+++ b/packages/declarations/src/accounts.ts
@@ -44,7 +44,7 @@
         const report = (key: string, message: string) =>
             issues.push({ code: FailureCode.invalid, path: ["accounts", index, key], message });
         if (names.has(name)) {
-            report("name", `duplicate account name ${name}`);
+            report("name", `two accounts are named ${name}`);
         }
         names.add(name);
         for (const digest of new Set(keyDigests)) {
--- a/packages/declarations/src/configurations.ts
+++ b/packages/declarations/src/configurations.ts
@@ -126,7 +126,7 @@
     });
     const names = configuration.services.map(service => service.name);
     names.filter((name, index) => names.indexOf(name) !== index).forEach(name =>
-        issues.push({ code: FailureCode.invalid, path: ["services"], message: `duplicate service name ${name}` })
+        issues.push({ code: FailureCode.invalid, path: ["services"], message: `two services are named ${name}` })
     );
     issues.push(...checkAccounts(configuration.accounts ?? []));
     return issues;
--- a/packages/declarations/src/machines.ts
+++ b/packages/declarations/src/machines.ts
@@ -122,7 +122,7 @@
         const reason = current === undefined
             ? "it does not exist"
             : `${current.operator} made version ${version} of it by change ${current.changeId}`;
-        const message = `${item.kind} ${item.name} cannot be changed from version ${item.baseVersion}: ${reason}`;
+        const message = `${item.kind} ${item.name} was to be changed from version ${item.baseVersion}, but ${reason}`;
         return [{ code: FailureCode.conflict, path: ["items", index], message }];
     }
 
@@ -179,7 +179,7 @@
             issues.push({ code: FailureCode.invalid, path, message });
         }
         if (resources.has(resourceKey("Model", resource.name)) && changedNames.has(resource.name)) {
-            const message = `${resource.name} names both a Model and an Adapter`;
+            const message = `${resource.name} is the name of a Model and of an Adapter`;
             issues.push({ code: FailureCode.invalid, path, message });
         }
     }
--- a/packages/placement/src/ledgers.ts
+++ b/packages/placement/src/ledgers.ts
@@ -96,11 +96,11 @@
             return { tag: "refused", reason: rejection };
         }
         if (this.find(load) !== undefined) {
-            return { tag: "refused", reason: "item is already held on this accelerator" };
+            return { tag: "refused", reason: "it is held there already" };
         }
         const free = this.freeBytes(upstream, accelerator);
         if (bytes > free) {
-            return { tag: "refused", reason: `item needs ${bytes} bytes, but only ${free} are free` };
+            return { tag: "refused", reason: `${bytes} bytes do not fit the ${free} that are free` };
         }
         this.put({ upstream, accelerator, item, bytes, state: "loading", fence });
         return { tag: "ordered", fence };
@@ -110,7 +110,7 @@
         const held = this.find(unload);
         const rejection = this.rejectionReason(unload);
         if (rejection !== undefined || held === undefined) {
-            return { tag: "refused", reason: rejection ?? "item is not held on this accelerator" };
+            return { tag: "refused", reason: rejection ?? "it is not held there" };
         }
         this.put({ ...held, state: "unloading", fence });
         return { tag: "ordered", fence };
@@ -138,7 +138,7 @@
         }
         return known.accelerators.some(({ name }) => name === order.accelerator)
             ? undefined
-            : "accelerator does not exist";
+            : "no such accelerator";
     }
 
     /** Ignores findings that refer to an earlier order than the holding's latest. */
