--- a/packages/fleet/src/services.ts
+++ b/packages/fleet/src/services.ts
@@ -37,7 +37,7 @@
         announce: async req => {
             checkLeads();
             if (req.announcement?.upstream === undefined) {
-                throw new ConnectError("the announcement has no upstream", Code.InvalidArgument);
+                throw new ConnectError("an announcement of nobody", Code.InvalidArgument);
             }
             await deps.desk.announceLocally(req.announcement);
             return {};
--- a/packages/rpc/src/interceptors.ts
+++ b/packages/rpc/src/interceptors.ts
@@ -43,7 +43,7 @@
         }
         observeClock(options.timeline, req.header.get(clockHeader) ?? undefined);
         if (!req.stream && req.header.get(lengthHeader) !== String(messageLength(req))) {
-            throw new ConnectError("the request message is incomplete", Code.DataLoss);
+            throw new ConnectError("the request's message did not arrive whole", Code.DataLoss);
         }
         const res = await next(req);
         res.header.set(clockHeader, String(options.timeline.tick()));
--- a/packages/winchpathd/src/platformcontrols.ts
+++ b/packages/winchpathd/src/platformcontrols.ts
@@ -273,7 +273,7 @@
         await this.keeper.require().barrier(timeoutMs);
         // A deposed host passes the barrier too, through its successor.
         if (epoch === undefined || this.epoch !== epoch) {
-            throw Failure.of(FailureCode.noLeader, "leadership has passed to another host");
+            throw Failure.of(FailureCode.noLeader, "another leader has followed");
         }
     }
 
