--- a/packages/bench/src/capacity.ts
+++ b/packages/bench/src/capacity.ts
@@ -10,7 +10,7 @@
 } from "@winchpath/consensus";
 import { Catalogue, Declarations, type Resource } from "@winchpath/declarations";
 import { acceleratorViews, IncrementalPlacer, Ledger } from "@winchpath/placement";
-import { Claims } from "@winchpath/requests";
+import { IdempotencyClaims } from "@winchpath/requests";
 import { RpcClients, RpcServer } from "@winchpath/rpc";
 import { Deployment, freePorts } from "@winchpath/testing";
 import { Timeline } from "@winchpath/timeline";
@@ -39,7 +39,7 @@
 /** Bytes of snapshot, and time to make one, for each kind of state. */
 function measureState(tell: Tell): void {
     for (const count of [10_000, 50_000]) {
-        const claims = new Claims();
+        const claims = new IdempotencyClaims();
         for (let number = 0; number < count; number++) {
             const place = {
                 upstream: "booking-1",
@@ -221,7 +221,7 @@
         router.service(ConsensusService, consensusService(() => replica));
     }, { key, timeline });
     replica.start();
-    await replica.joined(30_000);
+    await replica.waitUntilJoined(30_000);
     return async () => {
         await replica.stop();
         clients.close();
@@ -266,7 +266,7 @@
 function liveOf(upstreams: number, items: number, models: number) {
     const registrar = new Registrar(new Timeline({ process: "m", host: "m", dataCentre: "d" }, 10));
     for (let index = 0; index < upstreams; index++) {
-        registrar.take(reportOf(index, items, models, 1n));
+        registrar.receive(reportOf(index, items, models, 1n));
     }
     return registrar.live();
 }
--- a/packages/bench/src/decisions.ts
+++ b/packages/bench/src/decisions.ts
@@ -3,7 +3,7 @@
 import { sleep } from "@winchpath/core";
 import { Catalogue, type Resource } from "@winchpath/declarations";
 import {
-    DemandBook,
+    DemandTracker,
     Ledger,
     ModelDemandSchema,
     PlacementController,
@@ -67,7 +67,7 @@
     private readonly engines: MeasuredEngine[];
     private readonly entries: Entry[];
     private readonly ledger = new Ledger();
-    private readonly demand = new DemandBook();
+    private readonly demand = new DemandTracker();
     private readonly leaderRegistrar = new Registrar(this.timeline);
     private readonly stopping = new AbortController();
     private catalogue: Catalogue;
@@ -165,7 +165,7 @@
         return {
             requestId: "r",
             resource: request.target,
-            demandOf: request.model,
+            demandName: request.model,
             method: "POST",
             path: "/",
             headers: [],
@@ -178,10 +178,10 @@
             deadline: Date.now() + requestMs,
             startBy: Date.now() + firstTokenMs,
             signal: this.stopping.signal,
-            endsWithMark: () => false,
+            requiresEndMarker: () => false,
             bodyFor: model => Buffer.from(JSON.stringify({ model, tokens: request.tokens, prefix })),
             replicas: () => entry.table.replicasOf(request.target),
-            unplaceable: () => undefined,
+            unplaceableReason: () => undefined,
             revision: () => 1,
         };
     }
@@ -251,7 +251,7 @@
         while (!signal.aborted) {
             for (const engine of this.engines.filter(({ alive }) => alive)) {
                 const report = engine.report();
-                this.registrars().forEach(registrar => registrar.take(create(ReportRequestSchema, report)));
+                this.registrars().forEach(registrar => registrar.receive(create(ReportRequestSchema, report)));
             }
             this.entries.forEach(entry => entry.policy.upstreamsChanged());
             controller.wake.notify();
@@ -264,7 +264,7 @@
             await sleep(demandMs);
             for (const { dataCentre, policy } of this.entries) {
                 const models = policy.readDemand().map(sample => create(ModelDemandSchema, sample));
-                this.demand.take(
+                this.demand.record(
                     create(ReportDemandRequestSchema, { entry: dataCentre, intervalMs: demandMs, models }),
                 );
             }
--- a/packages/bench/src/policies.ts
+++ b/packages/bench/src/policies.ts
@@ -2,7 +2,13 @@
 import { Metrics, silentLog, sleep } from "@winchpath/core";
 import { FirstFitPlacer, IncrementalPlacer, type Placer } from "@winchpath/placement";
 import { QuarantineState } from "@winchpath/quarantine";
-import { type AgentConnector, Claims, type Job, RequestHandler, RequestQuarantine } from "@winchpath/requests";
+import {
+    type AgentConnector,
+    IdempotencyClaims,
+    type Job,
+    RequestHandler,
+    RequestQuarantine,
+} from "@winchpath/requests";
 import { RoundRobinPicker, Router } from "@winchpath/routing";
 import { Timeline } from "@winchpath/timeline";
 import { type Registrar } from "@winchpath/upstream";
@@ -29,7 +35,7 @@
     public readonly placer = new IncrementalPlacer(sparePatienceMs);
 
     public newEntry(name: string, agents: AgentConnector, registrar: Registrar): EntryPolicy {
-        const claims = new Claims();
+        const claims = new IdempotencyClaims();
         const crashes = new QuarantineState();
         const handler = new RequestHandler({
             entry: name,
@@ -99,7 +105,7 @@
         };
         return {
             handle: async (job, onFirst) => {
-                count(job.demandOf, 1);
+                count(job.demandName, 1);
                 const late = new AbortController();
                 const timer = setTimeout(() => late.abort(), job.deadline - Date.now());
                 try {
@@ -113,7 +119,7 @@
                 }
                 finally {
                     clearTimeout(timer);
-                    count(job.demandOf, -1);
+                    count(job.demandName, -1);
                 }
             },
             upstreamsChanged: () => undefined,
--- a/packages/consensus/src/tests/machines.test.ts
+++ b/packages/consensus/src/tests/machines.test.ts
@@ -1,12 +1,12 @@
 import { expect } from "earl";
 import { describe, it } from "node:test";
-import { ComposedMachine, encodeCommand } from "../index.js";
+import { CompositeStateMachine, encodeCommand } from "../index.js";
 
 const context = { index: 1, term: 1, time: 1 };
 
-describe("ComposedMachine", () => {
+describe("CompositeStateMachine", () => {
     const applied: unknown[] = [];
-    const machine = new ComposedMachine([{
+    const machine = new CompositeStateMachine([{
         slice: "list",
         apply: command => applied.push(command),
         snapshot: () => applied,
@@ -14,7 +14,7 @@
     }]);
 
     for (const malformed of ["", "{\"slice\":\"li"]) {
-        it(`goes on behind a command that is ${malformed === "" ? "empty" : "cut short"}`, () => {
+        it(`continues after a command that is ${malformed === "" ? "empty" : "truncated"}`, () => {
             machine.apply(Buffer.from(malformed), context);
             const before = applied.length;
             machine.apply(encodeCommand("list", "next"), context);
--- a/packages/fleet/src/feedfollowers.ts
+++ b/packages/fleet/src/feedfollowers.ts
@@ -1,6 +1,6 @@
 /** The entry's client of the change feed: discovers the leader and polls it. */
 import { type EventLog, messageOf, sleep, steadyNow } from "@winchpath/core";
-import { isSilence, type PeerClients } from "@winchpath/rpc";
+import { isNoResponseError, type PeerClients } from "@winchpath/rpc";
 import { type FleetView } from "./fleetviews.js";
 import { FleetService, type PollResponse } from "./gen/winchpath/fleet/v1/fleet_pb.js";
 import { type FollowedLeader } from "./meters.js";
@@ -107,8 +107,8 @@
 
     private recordFailure(url: string, err: unknown): void {
         this.lastFailures.set(url, steadyNow());
-        if (isSilence(err)) {
-            this.clients.forget(url);
+        if (isNoResponseError(err)) {
+            this.clients.disconnect(url);
         }
         if (url === this.leaderUrl) {
             this.forgetLeader(url, messageOf(err));
--- a/packages/fleet/src/fleetservices.ts
+++ b/packages/fleet/src/fleetservices.ts
@@ -37,7 +37,7 @@
         announce: async req => {
             checkLeads();
             if (req.announcement?.upstream === undefined) {
-                throw new ConnectError("the announcement has no upstream", Code.InvalidArgument);
+                throw new ConnectError("an announcement of nobody", Code.InvalidArgument);
             }
             await deps.announcements.announceLocally(req.announcement);
             return {};
--- a/packages/fleet/src/tests/crashreports.test.ts
+++ b/packages/fleet/src/tests/crashreports.test.ts
@@ -30,7 +30,7 @@
             return {};
         };
         const client = (() => ({ reportCrashes })) as unknown as PeerClients["client"];
-        const clients = { client, forget: () => undefined };
+        const clients = { client, disconnect: () => undefined };
         void this.reporter.run("e", clients, () => ({ url: "http://leader", epoch: "1" }), this.controller.signal);
     }
 
--- a/packages/fleet/src/tests/feedfollowers.test.ts
+++ b/packages/fleet/src/tests/feedfollowers.test.ts
@@ -22,7 +22,7 @@
             poll: (req: { probe?: boolean; }, options: { timeoutMs: number; }) =>
                 this.poll(url, options.timeoutMs, req.probe === true),
         });
-        return { client: open as unknown as PeerClients["client"], forget: () => undefined };
+        return { client: open as unknown as PeerClients["client"], disconnect: () => undefined };
     }
 
     private async poll(url: string, timeoutMs: number, probe: boolean): Promise<PollResponse> {
--- a/packages/fleet/src/tests/orderdispatchers.test.ts
+++ b/packages/fleet/src/tests/orderdispatchers.test.ts
@@ -1,4 +1,4 @@
-import { Notifier, silentLog, sleep, steadyNow, until } from "@winchpath/core";
+import { Notifier, silentLog, sleep, steadyNow, waitUntil } from "@winchpath/core";
 import { expect } from "earl";
 import { describe, it } from "node:test";
 import { type EngineOrder, type Fence, OrderDispatcher, OrderReply, type Registry } from "../index.js";
@@ -78,7 +78,7 @@
         engine.models.set("m1", new Set());
         const { dispatcher, registry, changes } = await startDispatcher(engine);
         await dispatcher.execute(order("load", "m1", "a1"), 1);
-        await until(() => dispatcher.loadingAdapters.size === 0, changes, 1000, "the adapter to be loaded");
+        await waitUntil(() => dispatcher.loadingAdapters.size === 0, changes, 1000, "the adapter to be loaded");
         const before = engine.orders.length;
         await dispatcher.execute(order("unload", "m1", "a1"), 1);
         await dispatcher.execute(order("load", "m2"), 1);
@@ -135,7 +135,7 @@
         }
         await dispatcher.execute(order("load", "m1", "a1"), 1);
         expect(dispatcher.loadingAdapters.has("m1/a1")).toEqual(true);
-        await until(() => dispatcher.loadingAdapters.size === 0, changes, 10_000, "polling to end");
+        await waitUntil(() => dispatcher.loadingAdapters.size === 0, changes, 10_000, "polling to end");
         expect(dispatcher.isReady).toEqual(false);
     });
 
@@ -149,7 +149,7 @@
         // The second order is sent while the first adapter is polled; that poll is answered first.
         await sleep(50);
         await dispatcher.execute(order("load", "m1", "a2"), 1);
-        await until(() => dispatcher.loadingAdapters.size === 0, changes, 10_000, "polling to end");
+        await waitUntil(() => dispatcher.loadingAdapters.size === 0, changes, 10_000, "polling to end");
         expect(dispatcher.isReady).toEqual(false);
         await dispatcher.execute(order("load", "m1", "a3"), 1);
         expect(engine.orders.filter(({ expected }) => !Number.isInteger(expected))).toEqual([]);
--- a/packages/fleet/src/tests/takeovers.test.ts
+++ b/packages/fleet/src/tests/takeovers.test.ts
@@ -27,7 +27,7 @@
                 return { allowances: [], permits: [] };
             },
         };
-        const clients = { client: () => client, forget: () => undefined } as unknown as PeerClients;
+        const clients = { client: () => client, disconnect: () => undefined } as unknown as PeerClients;
         const meter = new DemandMeter(silentLog);
         const abort = new AbortController();
         void meter.run("e", clients, () => followed, abort.signal);
--- a/packages/forwarding/src/forwarders.ts
+++ b/packages/forwarding/src/forwarders.ts
@@ -3,7 +3,7 @@
 import { type EventLog, Metrics, steadyNow } from "@winchpath/core";
 import { type Configuration, type EngineSpec } from "@winchpath/declarations";
 import { type CrashReporter, type DemandMeter, type FleetView, type ItemKey } from "@winchpath/fleet";
-import { EjectionBook } from "@winchpath/routing";
+import { EjectionTracker } from "@winchpath/routing";
 import { type ServerResponse } from "node:http";
 import { type AdmissionController, type Refusal } from "./admissioncontrollers.js";
 import { attempt, type AttemptOutcome, headTimeoutReason } from "./attempts.js";
@@ -66,7 +66,7 @@
 type NextStep = "again" | "done";
 
 export class Forwarder {
-    private readonly ejections = new EjectionBook();
+    private readonly ejections = new EjectionTracker();
     private readonly outcomeRecorder: OutcomeRecorder;
     private readonly quarantine: Quarantine;
     private readonly signals: UpstreamSignals;
--- a/packages/forwarding/src/outcomerecorders.ts
+++ b/packages/forwarding/src/outcomerecorders.ts
@@ -1,7 +1,7 @@
 /** Reports the outcome of attempts to the local ejection list and to the leader. */
 import { type EventLog } from "@winchpath/core";
 import { type DemandMeter } from "@winchpath/fleet";
-import { type EjectionBook } from "@winchpath/routing";
+import { type EjectionTracker } from "@winchpath/routing";
 import { type AttemptOutcome } from "./attempts.js";
 import { ageMs, type InboundRequest } from "./inboundrequests.js";
 
@@ -10,7 +10,7 @@
 
 export class OutcomeRecorder {
     public constructor(
-        private readonly ejections: EjectionBook,
+        private readonly ejections: EjectionTracker,
         private readonly meter: DemandMeter,
         private readonly log: EventLog,
     ) {}
--- a/packages/forwarding/src/upstreamselectors.ts
+++ b/packages/forwarding/src/upstreamselectors.ts
@@ -1,7 +1,7 @@
 /** Selects the upstream for a request. */
 import { type AvailabilityTracker, excludeBackingOff } from "@winchpath/availability";
 import { type EngineSpec } from "@winchpath/declarations";
-import { type EjectionBook } from "@winchpath/routing";
+import { type EjectionTracker } from "@winchpath/routing";
 import { createHash } from "node:crypto";
 import { type InboundRequest, isRepeatable, requiredCacheTokens, unsharedPromptTokens } from "./inboundrequests.js";
 import { type ThroughputTable } from "./throughputs.js";
@@ -37,7 +37,7 @@
 
 export class UpstreamSelector {
     public constructor(
-        private readonly ejections: EjectionBook,
+        private readonly ejections: EjectionTracker,
         private readonly availability: AvailabilityTracker,
         private readonly dataCentre: string,
         private readonly throughput: ThroughputTable,
@@ -63,7 +63,7 @@
         if (available.length === 0) {
             return { kind: "resting", until };
         }
-        const admitted = this.ejections.admitted(candidates(request, available));
+        const admitted = this.ejections.withoutEjected(candidates(request, available));
         const open = admitted.filter(endpoint => this.hasCapacity(endpoint, request, engine));
         if (open.length === 0) {
             return { kind: "full" };
--- a/packages/loadpatterns/src/rates/index.ts
+++ b/packages/loadpatterns/src/rates/index.ts
@@ -1,4 +1,4 @@
 export * from "./all.js";
-export * from "./plays.js";
 export * from "./policies.js";
-export * from "./posts.js";
+export * from "./ratesimulations.js";
+export * from "./simulatednetworks.js";
--- a/packages/operators/src/index.ts
+++ b/packages/operators/src/index.ts
@@ -1,5 +1,5 @@
 export * from "./changes.js";
-export * from "./gathers.js";
+export * from "./eventcollectors.js";
 export * from "./openapi.js";
 export * from "./schemas.js";
 export * from "./servers.js";
--- a/packages/placement/src/index.ts
+++ b/packages/placement/src/index.ts
@@ -1,5 +1,6 @@
 export * from "./controllers.js";
-export * from "./demands.js";
+export * from "./demandtrackers.js";
+export * from "./firstfitplacers.js";
 export {
     type ModelDemand,
     ModelDemandSchema,
@@ -7,11 +8,10 @@
     ReportDemandRequestSchema,
 } from "./gen/winchpath/placement/v1/placement_pb.js";
 export * from "./ledgers.js";
-export * from "./naive.js";
-export * from "./paces.js";
+export * from "./loadratelimiters.js";
+export * from "./placementreasons.js";
+export * from "./placementservices.js";
+export * from "./placementviews.js";
 export * from "./placers.js";
-export * from "./reasons.js";
 export * from "./reconciliations.js";
 export * from "./schemas.js";
-export * from "./services.js";
-export * from "./views.js";
--- a/packages/placement/src/services.ts
+++ b/packages/placement/src/placementservices.ts
@@ -1,15 +1,15 @@
-/** The RPC by which entries tell the leader of demand, and orders over RPC. */
+/** RPC service for demand reports, and RPC client for orders. */
 import { type ServiceImpl } from "@connectrpc/connect";
 import { type RpcClients } from "@winchpath/rpc";
 import { AgentService, type OrderOutcome, type OrderRequest } from "@winchpath/upstream";
 import { type OrderSender } from "./controllers.js";
-import { type DemandBook } from "./demands.js";
+import { type DemandTracker } from "./demandtrackers.js";
 import { type PlacementService } from "./gen/winchpath/placement/v1/placement_pb.js";
 
-export function placementService(demand: DemandBook): ServiceImpl<typeof PlacementService> {
+export function placementService(demand: DemandTracker): ServiceImpl<typeof PlacementService> {
     return {
         reportDemand: req => {
-            demand.take(req);
+            demand.record(req);
             return {};
         },
     };
--- a/packages/testing/src/deployments/deployments.ts
+++ b/packages/testing/src/deployments/deployments.ts
@@ -1,11 +1,11 @@
 /** A small deployment of real processes on loopback: entry hosts, agents, and the stand-ins beside them. */
-import { newIdentity, sleep } from "@winchpath/core";
+import { newId, sleep } from "@winchpath/core";
 import { kinds, parseManifests } from "@winchpath/declarations";
 import { type Status } from "@winchpath/operators";
 import { mkdtemp, rm, writeFile } from "node:fs/promises";
 import { tmpdir } from "node:os";
 import { join } from "node:path";
-import { differencesOf, OperatorClient } from "winchpath";
+import { diffManifests, OperatorClient } from "winchpath";
 import { type EngineOptions } from "../standins/engines.js";
 import { freePorts, ownAddress } from "./ports.js";
 import { Process } from "./processes.js";
@@ -80,10 +80,10 @@
     }
 
     /** Makes the declarations what the TOML text says, and nothing else. */
-    public async declare(text: string, changeId = newIdentity()): Promise<number> {
+    public async declare(text: string, changeId = newId()): Promise<number> {
         const manifests = parseManifests(text, "toml").unwrap();
         const lists = await Promise.all(kinds.map(kind => this.client.list(kind)));
-        const items = differencesOf(manifests, lists.flatMap(list => list.items), true);
+        const items = diffManifests(manifests, lists.flatMap(list => list.items), true);
         const result = await this.client.change({ changeId, operator: "awa", items }, false);
         if (result.tag === "refused") {
             throw new Error(result.issues.map(issue => issue.message).join("; "));
--- a/packages/upstream/src/index.ts
+++ b/packages/upstream/src/index.ts
@@ -1,5 +1,5 @@
 export * from "./agents.js";
-export * from "./engines.js";
+export * from "./engineschemas.js";
 export * from "./fences.js";
 export {
     AgentService,
@@ -23,10 +23,10 @@
     RunRequestSchema,
 } from "./gen/winchpath/upstream/v1/upstream_pb.js";
 export * from "./orders.js";
-export { refusedChunk, type RunRefusal } from "./records.js";
 export * from "./registrars.js";
 export * from "./reporters.js";
 export * from "./runners.js";
-export * from "./schemas.js";
+export { refusedChunk, type RunRefusal } from "./runrecords.js";
+export * from "./runtables.js";
 export * from "./services.js";
-export * from "./tables.js";
+export * from "./upstreams.js";
--- a/packages/upstream/src/services.ts
+++ b/packages/upstream/src/services.ts
@@ -1,4 +1,4 @@
-/** The RPCs of an agent, and those by which control hosts hear of upstreams. */
+/** RPC services of the agent and of the control hosts' registrar. */
 import { type ServiceImpl } from "@connectrpc/connect";
 import { type Agent } from "./agents.js";
 import {
@@ -9,7 +9,7 @@
 } from "./gen/winchpath/upstream/v1/upstream_pb.js";
 import { type Registrar } from "./registrars.js";
 
-export function agentService(agent: Agent): ServiceImpl<typeof AgentService> {
+export function createAgentService(agent: Agent): ServiceImpl<typeof AgentService> {
     return {
         run: req => agent.runner.run(req),
         fence: req => {
@@ -22,17 +22,20 @@
             agent.runner.cancel(req.requestId, req.attempt);
             return {};
         },
-        order: async req => ({ outcome: await agent.gate.take(req) }),
+        order: async req => ({ outcome: await agent.orderGate.forward(req) }),
     };
 }
 
-/** What a control host tells an agent besides that it was heard. */
-export type ReportAnswer = (knownRevision: number) => Omit<ReportResponse, "$typeName" | "$unknown">;
+/** Creates the response to an agent that knows declarations up to `knownRevision`. */
+export type ReportResponder = (knownRevision: number) => Omit<ReportResponse, "$typeName" | "$unknown">;
 
-export function registrarService(registrar: Registrar, answer: ReportAnswer): ServiceImpl<typeof RegistrarService> {
+export function createRegistrarService(
+    registrar: Registrar,
+    answer: ReportResponder,
+): ServiceImpl<typeof RegistrarService> {
     return {
         report: req => {
-            registrar.take(req);
+            registrar.receive(req);
             return answer(Number(req.knownRevision));
         },
     };
