--- a/packages/fleet/src/announcementbatchers.ts
+++ b/packages/fleet/src/announcementbatchers.ts
@@ -36,7 +36,7 @@
 export class AnnouncementBatcher {
     private readonly forwarded = new Map<string, ForwardedAnnouncement>();
     private pending = new Map<string, Announcement>();
-    /** Steady time of the leader's last answer. */
+    /** Monotonic time of the leader's last answer. */
     private lastContactAt = Number.NEGATIVE_INFINITY;
 
     public constructor(private readonly leader: AnnouncementLeader, private readonly log: EventLog) {}
--- a/packages/fleet/src/announcements.ts
+++ b/packages/fleet/src/announcements.ts
@@ -60,7 +60,7 @@
 /** Receives announcements on a control host. */
 export class AnnouncementReceiver implements AnnouncementLeader {
     private readonly relay: AnnouncementRelay;
-    private readonly gatherer: AnnouncementBatcher;
+    private readonly batcher: AnnouncementBatcher;
 
     public constructor(
         private readonly registry: Registry,
@@ -70,17 +70,17 @@
         log: EventLog,
     ) {
         this.relay = new AnnouncementRelay(control, clients);
-        this.gatherer = new AnnouncementBatcher(this, log);
+        this.batcher = new AnnouncementBatcher(this, log);
     }
 
     /** Sends batched reaffirmations to the leader until the signal is aborted. */
     public run(signal: AbortSignal): Promise<void> {
-        return this.gatherer.run(signal);
+        return this.batcher.run(signal);
     }
 
     /** Resolves once the leader has applied it and, if the upstream drains, live entries have confirmed it. */
     public receive(announcement: Announcement): Promise<void> {
-        return this.gatherer.announce(announcement);
+        return this.batcher.announce(announcement);
     }
 
     public get leaderUrl(): string {
@@ -104,7 +104,7 @@
     }
 
     public async leave(incarnation: Incarnation): Promise<void> {
-        this.gatherer.forget(incarnationId(incarnation));
+        this.batcher.forget(incarnationId(incarnation));
         if (this.control.isLeader) {
             return this.leaveLocally(incarnation);
         }
--- a/packages/fleet/src/demandhistories.ts
+++ b/packages/fleet/src/demandhistories.ts
@@ -11,7 +11,7 @@
     readonly key: ItemKey;
     requests: number;
     work: number;
-    /** Steady time of the last update. */
+    /** Monotonic time of the last update. */
     updatedAt: number;
 }
 
--- a/packages/fleet/src/meters.ts
+++ b/packages/fleet/src/meters.ts
@@ -61,7 +61,7 @@
     private readonly outcomes = new Map<string, { readonly upstream: string; served: number; failed: number; }>();
     private readonly leavingUpstreams: DrainReports;
     private readonly urgent = new Notifier();
-    /** Steady time of the last report. */
+    /** Monotonic time of the last report. */
     private reportedAt = Number.NEGATIVE_INFINITY;
     private readonly throughputs = new Map<string, Throughput>();
     /** Past demand, reported to each new leader. */
--- a/packages/fleet/src/orderdispatchers.ts
+++ b/packages/fleet/src/orderdispatchers.ts
@@ -58,7 +58,7 @@
     /** Whether an order is being executed or a report read. */
     private occupied = false;
     private hasReadReport = false;
-    /** Steady time of the last reply to an order. */
+    /** Monotonic time of the last reply to an order. */
     private lastReplyAt = Number.NEGATIVE_INFINITY;
     private stopped = false;
 
--- a/packages/fleet/src/placements.ts
+++ b/packages/fleet/src/placements.ts
@@ -53,7 +53,7 @@
 /** Plans and sends orders for the duration of one leadership. */
 export class PlacementController implements OrderDispatcherOwner {
     private readonly lines = new Map<string, OrderDispatcher>();
-    /** Steady time of the last attempt to read each engine's state. */
+    /** Monotonic time of the last attempt to read each engine's state. */
     private readonly lastSyncTimes = new Map<string, number>();
     /** Models that memory is being freed for, by engine. */
     private readonly reservations = new Map<string, { readonly model: string; readonly until: number; }>();
--- a/packages/fleet/src/tests/announcementbatchers.test.ts
+++ b/packages/fleet/src/tests/announcementbatchers.test.ts
@@ -35,12 +35,12 @@
     }
 }
 
-describe("AnnouncementGatherer", () => {
+describe("AnnouncementBatcher", () => {
     let leader: TestLeader;
-    let gatherer: AnnouncementBatcher;
+    let batcher: AnnouncementBatcher;
     beforeEach(() => {
         leader = new TestLeader();
-        gatherer = new AnnouncementBatcher(leader, silentLog);
+        batcher = new AnnouncementBatcher(leader, silentLog);
     });
 
     async function pass(t: { mock: { timers: { tick(ms: number): void; }; }; }, ms: number): Promise<void> {
@@ -51,10 +51,10 @@
     it("forwards the first announcement in full, and batches unchanged ones", async t => {
         t.mock.timers.enable({ apis: ["Date", "setTimeout"], now: 1_000_000 });
         const abort = new AbortController();
-        void gatherer.run(abort.signal);
-        await gatherer.announce(createAnnouncement("u", 1));
-        await gatherer.announce(createAnnouncement("u", 2));
-        await gatherer.announce(createAnnouncement("u", 3));
+        void batcher.run(abort.signal);
+        await batcher.announce(createAnnouncement("u", 1));
+        await batcher.announce(createAnnouncement("u", 2));
+        await batcher.announce(createAnnouncement("u", 3));
         expect(leader.announced.length).toEqual(1);
         await pass(t, batchIntervalMs);
         expect(leader.reaffirmed).toEqual([[{ id: "u", sequence: 3n }]]);
@@ -62,27 +62,27 @@
     });
 
     it("forwards at once when the content or the leader changes", async () => {
-        await gatherer.announce(createAnnouncement("u", 1));
-        await gatherer.announce(createAnnouncement("u", 2, { state: UpstreamState.DRAINING }));
+        await batcher.announce(createAnnouncement("u", 1));
+        await batcher.announce(createAnnouncement("u", 2, { state: UpstreamState.DRAINING }));
         leader.leaderUrl = "http://b";
-        await gatherer.announce(createAnnouncement("u", 3, { state: UpstreamState.DRAINING }));
+        await batcher.announce(createAnnouncement("u", 3, { state: UpstreamState.DRAINING }));
         expect(leader.announced.length).toEqual(3);
     });
 
     it("acknowledges nothing once the leader has been unreachable for a second", async t => {
         t.mock.timers.enable({ apis: ["Date"], now: 1_000_000 });
-        await gatherer.announce(createAnnouncement("u", 1));
+        await batcher.announce(createAnnouncement("u", 1));
         t.mock.timers.tick(1001);
         leader.isUnreachable = true;
-        await expect(gatherer.announce(createAnnouncement("u", 2))).toBeRejected();
+        await expect(batcher.announce(createAnnouncement("u", 2))).toBeRejected();
     });
 
     it("forwards announcements in full that a new leader does not know", async t => {
         t.mock.timers.enable({ apis: ["Date", "setTimeout"], now: 1_000_000 });
         const abort = new AbortController();
-        void gatherer.run(abort.signal);
-        await gatherer.announce(createAnnouncement("u", 1));
-        await gatherer.announce(createAnnouncement("u", 2));
+        void batcher.run(abort.signal);
+        await batcher.announce(createAnnouncement("u", 1));
+        await batcher.announce(createAnnouncement("u", 2));
         leader.unknown = ["u"];
         await pass(t, batchIntervalMs);
         await new Promise(resolve => setImmediate(resolve));
--- a/packages/fleet/src/tests/orderdispatchers.test.ts
+++ b/packages/fleet/src/tests/orderdispatchers.test.ts
@@ -35,7 +35,7 @@
     ]);
 }
 
-describe("OrderLine", () => {
+describe("OrderDispatcher", () => {
     it("sends no order to an engine that is busy with another sender's load", async () => {
         const engine = new ScriptedEngine();
         engine.busy = true;
--- a/packages/fleet/src/tests/storeloadlimiters.test.ts
+++ b/packages/fleet/src/tests/storeloadlimiters.test.ts
@@ -2,7 +2,7 @@
 import { describe, it } from "node:test";
 import { StoreLoadLimiter } from "../index.js";
 
-describe("StorePace", () => {
+describe("StoreLoadLimiter", () => {
     const loadsPerSecond = 8;
 
     it("lets a new leader start the loads that no engine can still run for an earlier one", t => {
--- a/packages/forwarding/src/tests/prioritylevels.test.ts
+++ b/packages/forwarding/src/tests/prioritylevels.test.ts
@@ -14,7 +14,7 @@
     return routes.map(route => priorities.levelOf(route, priority));
 }
 
-describe("Priorities", () => {
+describe("PriorityLevels", () => {
     it("are the route priorities if no accounts are configured", () => {
         expect(levels(undefined, undefined)).toEqual([0, 1, 2]);
     });
--- a/packages/operators/src/tests/operators.test.ts
+++ b/packages/operators/src/tests/operators.test.ts
@@ -92,7 +92,7 @@
     });
 });
 
-describe("tryChange", () => {
+describe("dryRunChange", () => {
     it("returns the result of a change without applying it", () => {
         const declarations = new Declarations();
         const attempt = (item: ChangeItem) =>
--- a/packages/requests/src/tests/claims.test.ts
+++ b/packages/requests/src/tests/claims.test.ts
@@ -11,7 +11,7 @@
     return { op: "claim", key, requestId: `r-${holder}`, fingerprint, holder, windowMs, ...place };
 }
 
-describe("Claims", () => {
+describe("IdempotencyClaims", () => {
     it("assign a key to the first request and return that claim to duplicates", () => {
         const claims = new IdempotencyClaims();
         expect(claims.apply(claim("k", "a"), { time: 1 }).tag).toEqual("mine");
--- a/packages/routing/src/replicas.ts
+++ b/packages/routing/src/replicas.ts
@@ -98,7 +98,7 @@
 }
 
 function toRoutedReplica(live: LiveUpstream, item: string): RoutedReplica {
-    const { report, lastReportAt: heardAt } = live;
+    const { report, lastReportAt } = live;
     const speed = Math.max(1, ...report.accelerators.map(accelerator => accelerator.speed));
     return {
         upstream: report.upstream,
@@ -108,7 +108,7 @@
         item,
         capacity: Math.max(1, report.load?.capacity ?? 1) * speed,
         reportedLoad: (report.load?.running ?? 0) + (report.load?.waiting ?? 0),
-        reportedAt: heardAt - report.loadAgeMs,
+        reportedAt: lastReportAt - report.loadAgeMs,
         sequence: report.sequence,
     };
 }
--- a/packages/routing/src/tests/routing.test.ts
+++ b/packages/routing/src/tests/routing.test.ts
@@ -33,7 +33,7 @@
     t.mock.timers.enable({ apis: ["Date"], now: 10_000 });
 }
 
-describe("LoadBook", () => {
+describe("LoadTracker", () => {
     it("adds the reported requests of other entries to its own current ones", t => {
         mockTime(t);
         const loads = new LoadTracker();
@@ -82,32 +82,32 @@
     });
 });
 
-describe("EjectionBook", () => {
+describe("EjectionTracker", () => {
     it("ejects a failing replica, admits one probe, and doubles the ejection if the probe fails", t => {
         mockTime(t);
-        const book = new EjectionTracker();
+        const tracker = new EjectionTracker();
         const replicas = ["a", "b", "c"].map(name => replica(name));
-        const admitted = () => book.withoutEjected(replicas).map(({ upstream }) => upstream);
-        expect([book.failed("a"), book.failed("a"), book.failed("a")]).toEqual([false, false, true]);
+        const admitted = () => tracker.withoutEjected(replicas).map(({ upstream }) => upstream);
+        expect([tracker.failed("a"), tracker.failed("a"), tracker.failed("a")]).toEqual([false, false, true]);
         expect(admitted()).toEqual(["b", "c"]);
         t.mock.timers.tick(1000);
         expect(admitted()).toEqual(["a", "b", "c"]);
-        book.sent("a");
+        tracker.sent("a");
         expect(admitted()).toEqual(["b", "c"]);
-        book.failed("a");
+        tracker.failed("a");
         t.mock.timers.tick(1999);
         expect(admitted()).toEqual(["b", "c"]);
         t.mock.timers.tick(1);
-        book.sent("a");
-        book.succeeded("a");
+        tracker.sent("a");
+        tracker.succeeded("a");
         expect(admitted()).toEqual(["a", "b", "c"]);
     });
 
     it("never ejects more than half of the replicas", () => {
-        const book = new EjectionTracker();
+        const tracker = new EjectionTracker();
         const replicas = ["a", "b"].map(name => replica(name));
-        ["a", "b"].forEach(name => Array.from({ length: 3 }, () => book.failed(name)));
-        expect(book.withoutEjected(replicas).length).toEqual(2);
+        ["a", "b"].forEach(name => Array.from({ length: 3 }, () => tracker.failed(name)));
+        expect(tracker.withoutEjected(replicas).length).toEqual(2);
     });
 });
 
--- a/packages/upstream/src/crashtrackers.ts
+++ b/packages/upstream/src/crashtrackers.ts
@@ -3,7 +3,7 @@
 import { type Upstream } from "./upstreams.js";
 
 export class CrashTracker {
-    /** The latest crash; `at` is the steady time at which it was detected. */
+    /** The latest crash; `at` is the monotonic time at which it was detected. */
     private current: { readonly name: string; readonly at: number; } | undefined;
 
     public constructor(private readonly upstream: Pick<Upstream, "hasEnded">) {}
--- a/packages/winchpathd/src/platformcontrols.ts
+++ b/packages/winchpathd/src/platformcontrols.ts
@@ -65,7 +65,7 @@
 
 /** Three heartbeats fit into one election timeout; shorter intervals cost CPU time on every control host. */
 const heartbeatMs = 300;
-/** A failed leader is replaced after one to two election timeouts. */
+/** Followers start an election after this long without a heartbeat, plus a random part of up to 20 percent. */
 const electionMs = 1000;
 /** Snapshots are frequent because configuration documents, and so log entries, may be large. */
 const snapshotEvery = 64;
