--- a/packages/accounts/src/limiters.ts
+++ b/packages/accounts/src/limiters.ts
@@ -25,7 +25,7 @@
 const leaderTimeoutPerEntryMs = 3;
 /** Burst size of the fallback rate, in seconds. */
 const fallbackSeconds = 1;
-/** Minimum retry delay told to callers that are over their limit. */
+/** Minimum retry delay told to clients that are over their limit. */
 const minRetryAfterMs = 300;
 
 /** Units that a request has consumed. */
@@ -252,7 +252,7 @@
 
     /** Counts that the leader doesn't know yet. */
     public counts(): AccountCounts[] {
-        return [...this.states].map(([account, state]) => state.counts(account)).filter(one => one !== undefined);
+        return [...this.states].map(([account, state]) => state.counts(account)).filter(counts => counts !== undefined);
     }
 
     /** Applies the leader's answer to a report of `counts`. */
--- a/packages/availability/src/availabilities.ts
+++ b/packages/availability/src/availabilities.ts
@@ -6,9 +6,9 @@
 /** State of an upstream according to its own signals. All times are monotonic. */
 export type Availability =
     | { readonly kind: "open"; }
-    /** The upstream is shutting down; `since`: when it first announced that. */
+    /** The upstream is draining; `since`: when it first announced that. */
     | { readonly kind: "leaving"; readonly since: number; }
-    /** The upstream asked for a pause; `until`: when the pause ends. */
+    /** The upstream requested a backoff; `until`: when it ends. */
     | { readonly kind: "resting"; readonly until: number; }
     /** The upstream is rate limited and this process holds no permit; `until`: when it may get one. */
     | { readonly kind: "limited"; readonly until: number; };
@@ -24,7 +24,7 @@
     private readonly drainTracker = new DrainTracker();
     private readonly backoffs = new BackoffTracker();
 
-    /** Records that an upstream is shutting down; returns whether that is new. */
+    /** Records that an upstream is draining; returns whether that is new. */
     public markDraining(upstream: string): boolean {
         return this.drainTracker.add(upstream);
     }
@@ -44,7 +44,7 @@
         this.backoffs.sent(upstream);
     }
 
-    /** Upstreams that announced their shutdown within the last `withinMs` milliseconds. */
+    /** Upstreams that started draining within the last `withinMs` milliseconds. */
     public recentlyDraining(withinMs: number): string[] {
         return this.drainTracker.recent(withinMs);
     }
--- a/packages/availability/src/draintrackers.ts
+++ b/packages/availability/src/draintrackers.ts
@@ -1,20 +1,20 @@
-/** Upstreams that have announced their shutdown. */
+/** Upstreams that have announced that they are draining. */
 import { steadyNow } from "@winchpath/core";
 
 /** The oldest entries are evicted beyond this. */
 const maxUpstreams = 4096;
-/** An upstream that shuts down serves for a few seconds more, so it is gone well before its entry expires. */
+/** A draining upstream serves for a few seconds more, so it is gone well before its entry expires. */
 const retentionMs = 600_000;
 
 /**
- * Keyed by incarnation. Shutting down is final: a signal of the same incarnation that arrives later was sent earlier,
- * or by a process that doesn't know of the shutdown yet.
+ * Keyed by incarnation. Draining is final: a signal of the same incarnation that arrives later was sent earlier,
+ * or by a process that doesn't know of it yet.
  */
 export class DrainTracker {
     /** Monotonic time of the first announcement, by upstream. */
     private readonly announcedAt = new Map<string, number>();
 
-    /** Records that an upstream is shutting down; returns whether that is new. */
+    /** Records that an upstream is draining; returns whether that is new. */
     public add(upstream: string): boolean {
         if (this.announcedAt.has(upstream)) {
             return false;
@@ -33,7 +33,7 @@
         return this.announcedAt.get(upstream);
     }
 
-    /** Upstreams that announced their shutdown within the last `withinMs` milliseconds. */
+    /** Upstreams that started draining within the last `withinMs` milliseconds. */
     public recent(withinMs: number): string[] {
         const from = steadyNow() - withinMs;
         return [...this.announcedAt].filter(([, at]) => at >= from).map(([upstream]) => upstream);
--- a/packages/fleet/src/adapterplans.ts
+++ b/packages/fleet/src/adapterplans.ts
@@ -1,4 +1,4 @@
-/** Plans loads of adapters, and the unloads that make room for them. */
+/** Plans loads of adapters, and the unloads that free slots or memory for them. */
 import { type ItemNeed } from "./demands.js";
 import { type EngineSnapshot, type PlannedOrder } from "./plans.js";
 import { type PlanState } from "./planstates.js";
@@ -7,7 +7,7 @@
 const slotShareBeforeReplication = 0.25;
 /** An adapter that was requested within this time stays loaded. */
 const adapterIdleThresholdMs = 1500;
-/** Requests a second that each loaded adapter adds to its engine's adapter demand, to spread adapters evenly. */
+/** Requests per second that each loaded adapter adds to its engine's adapter demand, to spread adapters evenly. */
 const baseRatePerAdapter = 0.5;
 
 export class AdapterPlanner {
@@ -19,8 +19,8 @@
     /** Orders for adapters that are in demand and loaded on too few ready engines. */
     public orders(): PlannedOrder[] {
         const candidates = this.state.input.needs
-            .filter(need => need.key.adapter !== "" && (need.lacking > 0 || need.idleMs < adapterIdleThresholdMs))
-            .sort((a, b) => b.lacking - a.lacking || b.rate - a.rate);
+            .filter(need => need.key.adapter !== "" && (need.unserved > 0 || need.idleMs < adapterIdleThresholdMs))
+            .sort((a, b) => b.unserved - a.unserved || b.rate - a.rate);
         return candidates.flatMap(need => this.orderFor(need) ?? []);
     }
 
@@ -29,8 +29,8 @@
      * it loads a model.
      */
     public hasUnservedAdapters(engine: EngineSnapshot): boolean {
-        this.unservedNeeds ??= this.state.input.needs.filter(({ key, lacking }) =>
-            key.adapter !== "" && lacking > 0 && !this.isLoadedAnywhere(key.model, key.adapter)
+        this.unservedNeeds ??= this.state.input.needs.filter(({ key, unserved }) =>
+            key.adapter !== "" && unserved > 0 && !this.isLoadedAnywhere(key.model, key.adapter)
         );
         return this.unservedNeeds.some(need =>
             engine.models.get(need.key.model)?.isReady === true && this.placementOrder(engine, need) !== undefined
@@ -63,7 +63,7 @@
         return undefined;
     }
 
-    /** The order that loads an adapter on an engine or makes room for it; undefined if none of its adapters is idle. */
+    /** The order that loads an adapter on an engine or unloads another one for it; undefined if none of its adapters is idle. */
     private placementOrder(engine: EngineSnapshot, need: ItemNeed): PlannedOrder | undefined {
         const { model, adapter } = need.key;
         const { state } = this;
@@ -74,7 +74,7 @@
                 engine: engine.id,
                 order: { kind: "load", model, adapter },
                 fromStore: false,
-                reason: `demand ${need.rate.toFixed(1)}/s, ${need.lacking} unserved`,
+                reason: `demand ${need.rate.toFixed(1)}/s, ${need.unserved} unserved`,
             };
         }
         const victim = this.longestIdleAdapter(engine);
@@ -88,7 +88,7 @@
 
     /** The adapter that has been idle for longest; undefined while another one is being unloaded. */
     private longestIdleAdapter(engine: EngineSnapshot): { model: string; adapter: string; } | undefined {
-        if (hasLeavingAdapter(engine)) {
+        if (isUnloadingAdapter(engine)) {
             return undefined;
         }
         const loaded = [...engine.models].flatMap(([model, held]) =>
@@ -111,7 +111,7 @@
         return this.state.holders(model).some(engine => engine.models.get(model)!.adapters.get(adapter) === "held");
     }
 
-    /** Requests a second for the adapters of an engine, with a base rate for each. */
+    /** Requests per second for the adapters of an engine, with a base rate for each. */
     private adapterDemand(engine: EngineSnapshot): number {
         let rate = 0;
         for (const [model, held] of engine.models) {
@@ -127,6 +127,6 @@
     return [...engine.models.values()].reduce((count, held) => count + held.adapters.size, 0);
 }
 
-function hasLeavingAdapter(engine: EngineSnapshot): boolean {
+function isUnloadingAdapter(engine: EngineSnapshot): boolean {
     return [...engine.models.values()].some(held => [...held.adapters.values()].includes("leaving"));
 }
--- a/packages/fleet/src/demands.ts
+++ b/packages/fleet/src/demands.ts
@@ -35,7 +35,7 @@
     /** Requests that are running. */
     readonly running: number;
     /** Requests that wait or were recently rejected because no upstream holds the item. */
-    readonly lacking: number;
+    readonly unserved: number;
     /** Milliseconds since the last request. */
     readonly idleMs: number;
 }
@@ -168,7 +168,7 @@
         rate,
         work: rate * workPerRequest,
         running: sum(fresh.map(counts => counts.running)),
-        lacking: waiting + sum(item.refusals.map(refusal => refusal.count)),
+        unserved: waiting + sum(item.refusals.map(refusal => refusal.count)),
         idleMs,
     };
 }
--- a/packages/fleet/src/fleetservices.ts
+++ b/packages/fleet/src/fleetservices.ts
@@ -22,8 +22,8 @@
     readonly limits: Pick<AccountLimitCoordinator, "processCounts">;
     /** Receives upstream rate limits known to entries. */
     readonly rates: Pick<RateLimitCoordinator, "processReports">;
-    /** The crash watch of the current leadership; undefined if this host is not the leader. */
-    readonly crashWatch: () => Pick<CrashMonitor, "addReports"> | undefined;
+    /** The crash monitor of the current leadership; undefined if this host is not the leader. */
+    readonly crashMonitor: () => Pick<CrashMonitor, "addReports"> | undefined;
 }
 
 export function createFleetService(deps: FleetServiceDependencies): ServiceImpl<typeof FleetService> {
@@ -58,7 +58,7 @@
             return { allowances: grantAllowances(deps, req), permits: grantPermits(deps, req) };
         },
         reportCrashes: req => {
-            const crashes = deps.crashWatch();
+            const crashes = deps.crashMonitor();
             if (crashes === undefined) {
                 throw new ConnectError("not the leader", Code.FailedPrecondition);
             }
--- a/packages/fleet/src/loadscorers.ts
+++ b/packages/fleet/src/loadscorers.ts
@@ -47,7 +47,7 @@
 }
 
 export class LoadScorer {
-    /** Requests a second that are assumed for each model in addition to observed demand. */
+    /** Requests per second that are assumed for each model in addition to observed demand. */
     private readonly baselineRate: number;
     /** Replicas of each model that idle models may not replace. */
     private readonly protectedReplicas: number;
@@ -185,7 +185,7 @@
         return fixedLoadCost + (rate + this.adapterMissRate(engine)) * loadMs / 1000;
     }
 
-    /** Requests a second for adapters that are not loaded, of models with no other ready replica. */
+    /** Requests per second for adapters that are not loaded, of models with no other ready replica. */
     private adapterMissRate(engine: EngineSnapshot): number {
         let rate = 0;
         for (const [name, held] of engine.models) {
@@ -214,10 +214,10 @@
 
     /** Share of an engine's capacity that each replica of a model uses; 0 while the capacity is unknown. */
     private utilization(need: ModelNeed | undefined, extraReplicas: number): number {
-        const capacity = need === undefined ? undefined : this.state.input.capacityOf(need.model.name);
-        return need === undefined || capacity === undefined
+        const throughput = need === undefined ? undefined : this.state.input.throughputOf(need.model.name);
+        return need === undefined || throughput === undefined
             ? 0
-            : need.work / Math.max(1, this.state.expectedReplicas(need.model.name) + extraReplicas) / capacity;
+            : need.work / Math.max(1, this.state.expectedReplicas(need.model.name) + extraReplicas) / throughput;
     }
 
     /** Share of a model's requests that exceed the capacity of the given number of replicas. */
@@ -225,13 +225,13 @@
         if (replicas <= 0) {
             return 1;
         }
-        const capacity = this.state.input.capacityOf(need.model.name);
-        return capacity === undefined || need.work === 0
+        const throughput = this.state.input.throughputOf(need.model.name);
+        return throughput === undefined || need.work === 0
             ? 0
-            : Math.max(0, 1 - replicas * capacity * targetUtilization / need.work);
+            : Math.max(0, 1 - replicas * throughput * targetUtilization / need.work);
     }
 
-    /** Requests a second, including the baseline. */
+    /** Requests per second, including the baseline. */
     private expectedRate(need: ModelNeed): number {
         return need.rate + this.baselineRate;
     }
--- a/packages/fleet/src/meters.ts
+++ b/packages/fleet/src/meters.ts
@@ -19,7 +19,7 @@
 
 /** Interval between regular reports, in milliseconds. */
 const reportMs = 500;
-/** Urgent news is batched for this long before it is reported, in milliseconds. */
+/** Urgent changes are batched for this long before it is reported, in milliseconds. */
 const urgentDelayMs = 5;
 /** Minimum interval between reports, in milliseconds; bounds the leader's load while many requests can't be served. */
 const minReportIntervalMs = 25;
@@ -59,7 +59,7 @@
     private mismatches: Mismatch[] = [];
     private readonly unreachable = new Set<string>();
     private readonly outcomes = new Map<string, { readonly upstream: string; served: number; failed: number; }>();
-    private readonly leavingUpstreams: DrainReports;
+    private readonly drainReports: DrainReports;
     private readonly urgent = new Notifier();
     /** Monotonic time of the last report. */
     private reportedAt = Number.NEGATIVE_INFINITY;
@@ -74,9 +74,9 @@
     private accounts: AccountMeter | undefined;
     private pendingWake: NodeJS.Timeout | undefined;
 
-    /** @param availability source of departing upstreams and upstream rates, which are reported to the leader */
+    /** @param availability source of draining upstreams and upstream rate limits, which are reported to the leader */
     public constructor(private readonly log: EventLog, private readonly availability = new AvailabilityTracker()) {
-        this.leavingUpstreams = new DrainReports(availability);
+        this.drainReports = new DrainReports(availability);
     }
 
     /** Includes the usage of client accounts in reports. */
@@ -140,7 +140,7 @@
         this.urgent.notify();
     }
 
-    /** An upstream announced its departure to this process; it is reported soon. */
+    /** An upstream announced to this process that it is draining; this is reported soon. */
     public leaving(): void {
         this.urgent.notify();
     }
@@ -193,7 +193,7 @@
         const { mismatches } = this;
         const unreachable = [...this.unreachable];
         const outcomes = [...this.outcomes.values()];
-        const leaving = this.leavingUpstreams.unreportedTo(epoch);
+        const leaving = this.drainReports.unreportedTo(epoch);
         const rates = this.availability.rates.createReports(epoch);
         this.resetCounts();
         const askedAt = steadyNow();
@@ -221,7 +221,7 @@
             };
             const res = await clients.client(FleetService, url).reportDemand(req, { timeoutMs: reportTimeoutMs });
             this.reportedEpoch = epoch;
-            this.leavingUpstreams.markReported(leaving, epoch);
+            this.drainReports.markReported(leaving, epoch);
             this.accounts?.applyAllowances(counts, res.allowances.map(decodeAllowance));
             this.availability.rates.applyGrants(rates, res.permits, { epoch, askedAt });
         }
@@ -247,7 +247,7 @@
     private hasUnreported(epoch: string): boolean {
         return this.availability.rates.hasReports(epoch) || this.items.size > 0 || this.mismatches.length > 0
             || this.unreachable.size > 0
-            || this.outcomes.size > 0 || this.leavingUpstreams.hasUnreported
+            || this.outcomes.size > 0 || this.drainReports.hasUnreported
             || (this.accounts?.counts().length ?? 0) > 0;
     }
 
--- a/packages/fleet/src/orderdispatchers.ts
+++ b/packages/fleet/src/orderdispatchers.ts
@@ -48,15 +48,15 @@
     /** Models being loaded. */
     private readonly loading = new Set<string>();
     /** Adapters being loaded, as "model/adapter". */
-    private readonly transits = new Set<string>();
+    private readonly pendingAdapterLoads = new Set<string>();
     /** Adapters whose unload waits for running requests, as "model/adapter". */
-    private readonly departures = new Set<string>();
+    private readonly pendingAdapterUnloads = new Set<string>();
     /** Adapters that this dispatcher has loaded and not unloaded since. */
-    private readonly loaded = new Set<string>();
+    private readonly loadedAdapters = new Set<string>();
     /** Lower bound of the number of orders that the engine has accepted; undefined while its state has to be read. */
     private expected: number | undefined;
     /** Whether an order is being executed or a report read. */
-    private occupied = false;
+    private isBusy = false;
     private hasReadReport = false;
     /** Monotonic time of the last reply to an order. */
     private lastReplyAt = Number.NEGATIVE_INFINITY;
@@ -65,14 +65,14 @@
     public constructor(
         private readonly id: string,
         private readonly registry: Registry,
-        private readonly calls: EngineClient,
+        private readonly engineClient: EngineClient,
         private readonly owner: OrderDispatcherOwner,
         private readonly log: EventLog,
     ) {}
 
     /** Whether the next order can be sent. */
     public get isReady(): boolean {
-        return !this.occupied && !this.stopped && this.expected !== undefined;
+        return !this.isBusy && !this.stopped && this.expected !== undefined;
     }
 
     /** Whether the engine has ever reported to this dispatcher that no model order was in progress. */
@@ -86,16 +86,16 @@
 
     /** Adapters being loaded, as "model/adapter". */
     public get loadingAdapters(): ReadonlySet<string> {
-        return this.transits;
+        return this.pendingAdapterLoads;
     }
 
     /** Adapters being unloaded, as "model/adapter". They occupy their slots until their last request ends. */
     public get unloadingAdapters(): ReadonlySet<string> {
-        return this.departures;
+        return this.pendingAdapterUnloads;
     }
 
     public get availableAdapterLoads(): number {
-        return this.isReady ? maxConcurrentAdapterLoads - this.transits.size : 0;
+        return this.isReady ? maxConcurrentAdapterLoads - this.pendingAdapterLoads.size : 0;
     }
 
     /** Stops sending orders. */
@@ -106,22 +106,22 @@
     /** Reads the models and adapters that the engine holds, and how many orders it has accepted. */
     public async refresh(): Promise<void> {
         const upstream = this.upstream;
-        if (upstream === undefined || this.occupied) {
+        if (upstream === undefined || this.isBusy) {
             return;
         }
-        this.occupied = true;
+        this.isBusy = true;
         try {
             await this.readReport(upstream);
         }
         finally {
-            this.occupied = false;
+            this.isBusy = false;
             this.owner.onChange();
         }
     }
 
     /** Executes an order; resolves once the engine can take another. */
     public async execute(order: EngineOrder, expectedMs: number): Promise<void> {
-        this.occupied = true;
+        this.isBusy = true;
         if (order.kind === "load" && order.adapter === "") {
             // Listed before it is accepted, so that the planner does not load it on another engine as well.
             this.loading.add(order.model);
@@ -131,7 +131,7 @@
         }
         finally {
             this.loading.delete(order.model);
-            this.occupied = false;
+            this.isBusy = false;
             this.owner.onChange();
         }
     }
@@ -142,7 +142,7 @@
 
     private async sendUntilAnswered(order: EngineOrder, expectedMs: number): Promise<void> {
         if (order.kind === "unload" && order.adapter === "") {
-            this.markLeaving(order.model);
+            this.markUnloading(order.model);
         }
         for (let attempt = 0; attempt < maxAttempts; attempt++) {
             switch (await this.send(order)) {
@@ -183,7 +183,7 @@
      * to count. The count must never be too high: a late copy could then be accepted in a state it was not planned for.
      */
     private updateExpected(order: EngineOrder): void {
-        const isCounted = !isAdapterUnload(order) || this.loaded.delete(qualifiedAdapterName(order));
+        const isCounted = !isAdapterUnload(order) || this.loadedAdapters.delete(qualifiedAdapterName(order));
         // A failed adapter load may have cleared the count while this order was in flight.
         this.expected = isCounted && this.expected !== undefined ? this.expected + 1 : undefined;
     }
@@ -191,7 +191,7 @@
     /** Waits while the engine has asked this host to back off. */
     private async waitForBackoff(): Promise<void> {
         for (let upstream = this.upstream; upstream !== undefined; upstream = this.upstream) {
-            const ms = this.calls.backoffMs(upstream);
+            const ms = this.engineClient.backoffMs(upstream);
             if (ms <= 0) {
                 return;
             }
@@ -208,7 +208,7 @@
         }
         const sentAt = steadyNow();
         this.owner.onOrderSent();
-        const reply = await this.calls.sendOrder(upstream, order, this.expected, fence);
+        const reply = await this.engineClient.sendOrder(upstream, order, this.expected, fence);
         this.lastReplyAt = steadyNow();
         this.log.info("order.sent", {
             upstream: this.id,
@@ -216,8 +216,8 @@
             expected: this.expected,
             token: fence.token,
             held: heldAdapterNames(upstream).length,
-            underWay: this.transits.size,
-            leaving: this.departures.size,
+            underWay: this.pendingAdapterLoads.size,
+            leaving: this.pendingAdapterUnloads.size,
             reply,
             tookMs: Math.round(steadyNow() - sentAt),
         });
@@ -271,17 +271,17 @@
 
     private async trackAdapterLoad(order: EngineOrder): Promise<void> {
         const name = qualifiedAdapterName(order);
-        this.transits.add(name);
+        this.pendingAdapterLoads.add(name);
         this.owner.onChange();
         if (await this.waitForAdapterLoad(order)) {
-            this.loaded.add(name);
+            this.loadedAdapters.add(name);
             this.recordCompletion(order);
         }
         else {
             // It may occupy a slot nevertheless: read the engine's state before the next order.
             this.expected = undefined;
         }
-        this.transits.delete(name);
+        this.pendingAdapterLoads.delete(name);
         this.owner.onChange();
     }
 
@@ -289,7 +289,7 @@
     private async waitForAdapterLoad(order: EngineOrder): Promise<boolean> {
         for (const delayMs of adapterPollDelaysMs) {
             await sleep(delayMs);
-            while (this.occupied && this.upstream !== undefined) {
+            while (this.isBusy && this.upstream !== undefined) {
                 // The engine rejects adapter orders while it loads or unloads a model.
                 await sleep(busyPollMs);
             }
@@ -308,11 +308,11 @@
     private async trackAdapterUnload(order: EngineOrder): Promise<void> {
         const name = qualifiedAdapterName(order);
         this.log.info("adapter.leaving", { upstream: this.id, adapter: name });
-        this.departures.add(name);
+        this.pendingAdapterUnloads.add(name);
         this.updateModels(models => applyOrder(models, order));
         this.owner.onChange();
         await this.waitForAdapterUnload(order);
-        this.departures.delete(name);
+        this.pendingAdapterUnloads.delete(name);
         this.log.info("adapter.left", { upstream: this.id, adapter: name });
         this.owner.onChange();
     }
@@ -334,7 +334,7 @@
 
     private async isUnloaded(order: EngineOrder): Promise<boolean> {
         const reply = await this.send(order);
-        if (reply === OrderReply.conflict && !this.occupied) {
+        if (reply === OrderReply.conflict && !this.isBusy) {
             // The engine has accepted orders from another sender: read its state before the next order.
             this.expected = undefined;
         }
@@ -345,7 +345,7 @@
         return this.upstream?.models.some(({ name }) => name === model) === true;
     }
 
-    private markLeaving(model: string): void {
+    private markUnloading(model: string): void {
         this.updateModels(models => models.filter(held => held.name === model).forEach(held => held.leaving = true));
     }
 
@@ -377,7 +377,7 @@
         // A report from before the last order took effect would overstate the free capacity.
         await sleep(Math.max(0, this.lastReplyAt + maxReportAgeMs - steadyNow()));
         await this.waitForBackoff();
-        const report = await this.calls.fetchReport(upstream);
+        const report = await this.engineClient.fetchReport(upstream);
         if (report === undefined) {
             return;
         }
@@ -388,7 +388,7 @@
         }
         this.hasReadReport = true;
         this.expected = report.orders;
-        this.loaded.clear();
+        this.loadedAdapters.clear();
         this.registry.setModels(this.id, report.models.map(model => this.withoutUnloadingAdapters(model)));
         this.log.info("engine.read", {
             upstream: this.id,
@@ -401,7 +401,7 @@
     /** Removes adapters that are being unloaded: reports list them until their last request ends. */
     private withoutUnloadingAdapters(model: HeldModel): HeldModel {
         const copy = clone(HeldModelSchema, model);
-        copy.adapters = copy.adapters.filter(adapter => !this.departures.has(`${model.name}/${adapter}`));
+        copy.adapters = copy.adapters.filter(adapter => !this.pendingAdapterUnloads.has(`${model.name}/${adapter}`));
         return copy;
     }
 }
--- a/packages/fleet/src/placements.ts
+++ b/packages/fleet/src/placements.ts
@@ -52,7 +52,7 @@
 
 /** Plans and sends orders for the duration of one leadership. */
 export class PlacementController implements OrderDispatcherOwner {
-    private readonly lines = new Map<string, OrderDispatcher>();
+    private readonly dispatchers = new Map<string, OrderDispatcher>();
     /** Monotonic time of the last attempt to read each engine's state. */
     private readonly lastSyncTimes = new Map<string, number>();
     /** Models that memory is being freed for, by engine. */
@@ -69,7 +69,7 @@
         private readonly control: PlacementContext,
         private readonly registry: Registry,
         private readonly demand: DemandTracker,
-        private readonly calls: EngineClient,
+        private readonly engineClient: EngineClient,
         private readonly log: EventLog,
     ) {}
 
@@ -103,11 +103,11 @@
 
     /** Rereads an engine's state after it told an entry that it does not hold an expected model or adapter. */
     public resyncAfterMismatch(mismatch: Mismatch): void {
-        const line = this.lines.get(mismatch.upstream);
+        const dispatcher = this.dispatchers.get(mismatch.upstream);
         const name = mismatch.adapter === "" ? mismatch.model : `${mismatch.model}/${mismatch.adapter}`;
-        if (line !== undefined && this.claimSync(mismatch.upstream)) {
+        if (dispatcher !== undefined && this.claimSync(mismatch.upstream)) {
             this.log.warn("engine.mismatch", { upstream: mismatch.upstream, item: name });
-            void line.refresh();
+            void dispatcher.refresh();
         }
     }
 
@@ -129,7 +129,7 @@
                 this.log.warn("plan.failed", { error: messageOf(err) });
             }
         }
-        this.lines.forEach(line => line.stop());
+        this.dispatchers.forEach(dispatcher => dispatcher.stop());
     }
 
     private planServices(): void {
@@ -158,7 +158,7 @@
                 spec.storeLoadsPerSecond,
                 this.maxInheritedStarts(service, spec),
             ),
-            capacityOf: model => this.demand.throughputOf(service, model),
+            throughputOf: model => this.demand.throughputOf(service, model),
         });
         this.planDurationMs += steadyNow() - startedAt;
         this.logUnmetNeeds(plan.unmet);
@@ -168,7 +168,7 @@
     /** Upper bound of an earlier leader's recent loads from the store, by the engines not yet seen idle. */
     private maxInheritedStarts(service: string, spec: EngineSpec): number {
         const unverified = this.registry.all().filter(({ upstream }) =>
-            upstream.service === service && this.lines.get(upstream.id)?.hasSeenIdle !== true
+            upstream.service === service && this.dispatchers.get(upstream.id)?.hasSeenIdle !== true
         );
         return StoreLoadLimiter.maxInheritedStarts(
             unverified.length,
@@ -213,8 +213,8 @@
     }
 
     private sendOrder(service: string, planned: PlannedOrder, spec: EngineSpec): void {
-        const line = this.lines.get(planned.engine);
-        if (line === undefined || !line.isReady) {
+        const dispatcher = this.dispatchers.get(planned.engine);
+        if (dispatcher === undefined || !dispatcher.isReady) {
             return;
         }
         this.log.info("order.planned", {
@@ -222,18 +222,21 @@
             order: describeOrder(planned.order),
             fromStore: planned.fromStore,
             reason: planned.reason,
-            capacity: Math.round(this.demand.throughputOf(service, planned.makesRoomFor ?? planned.order.model) ?? 0),
+            capacity: Math.round(this.demand.throughputOf(service, planned.freesMemoryFor ?? planned.order.model) ?? 0),
         });
         if (planned.fromStore) {
             this.storeLimiter.recordStart();
         }
-        if (planned.makesRoomFor !== undefined) {
-            this.reservations.set(planned.engine, { model: planned.makesRoomFor, until: steadyNow() + reservationMs });
+        if (planned.freesMemoryFor !== undefined) {
+            this.reservations.set(planned.engine, {
+                model: planned.freesMemoryFor,
+                until: steadyNow() + reservationMs,
+            });
         }
         else if (planned.order.kind === "load" && planned.order.adapter === "") {
             this.reservations.delete(planned.engine);
         }
-        void line.execute(planned.order, this.expectedOrderMs(planned, spec));
+        void dispatcher.execute(planned.order, this.expectedOrderMs(planned, spec));
     }
 
     private expectedOrderMs(planned: PlannedOrder, spec: EngineSpec): number {
@@ -259,19 +262,19 @@
             if (!engineServices.has(upstream.service)) {
                 continue;
             }
-            let line = this.lines.get(upstream.id);
-            if (line === undefined) {
-                line = new OrderDispatcher(upstream.id, this.registry, this.calls, this, this.log);
-                this.lines.set(upstream.id, line);
+            let dispatcher = this.dispatchers.get(upstream.id);
+            if (dispatcher === undefined) {
+                dispatcher = new OrderDispatcher(upstream.id, this.registry, this.engineClient, this, this.log);
+                this.dispatchers.set(upstream.id, dispatcher);
             }
-            if (!line.isReady && upstream.state === UpstreamState.READY && this.claimSync(upstream.id)) {
-                void line.refresh();
+            if (!dispatcher.isReady && upstream.state === UpstreamState.READY && this.claimSync(upstream.id)) {
+                void dispatcher.refresh();
             }
         }
-        for (const [id, line] of this.lines) {
+        for (const [id, dispatcher] of this.dispatchers) {
             if (this.registry.get(id) === undefined) {
-                line.stop();
-                this.lines.delete(id);
+                dispatcher.stop();
+                this.dispatchers.delete(id);
                 this.lastSyncTimes.delete(id);
                 this.reservations.delete(id);
                 this.suspectedEngines.delete(id);
@@ -291,16 +294,16 @@
 
     private snapshotEngine(known: RegisteredUpstream): EngineSnapshot {
         const { upstream, inMemory, onDisk } = known;
-        const line = this.lines.get(upstream.id);
+        const dispatcher = this.dispatchers.get(upstream.id);
         const models = new Map<string, ModelSnapshot>();
         for (const held of upstream.models) {
             models.set(held.name, {
                 isReady: held.readyInMs === 0,
                 isLeaving: held.leaving,
-                adapters: adapterStages(held, line),
+                adapters: adapterStages(held, dispatcher),
             });
         }
-        for (const name of line?.loadingModels ?? []) {
+        for (const name of dispatcher?.loadingModels ?? []) {
             if (!models.has(name)) {
                 models.set(name, { isReady: false, isLeaving: false, adapters: new Map() });
             }
@@ -313,8 +316,8 @@
             dataCentre: upstream.dataCentre,
             models,
             // Adapter loads are polled by orders, which an engine rejects while it loads a model.
-            acceptsModelOrders: line?.isReady === true && line.loadingAdapters.size === 0,
-            freeAdapterLoads: line?.availableAdapterLoads ?? 0,
+            acceptsModelOrders: dispatcher?.isReady === true && dispatcher.loadingAdapters.size === 0,
+            freeAdapterLoads: dispatcher?.availableAdapterLoads ?? 0,
             inMemory,
             onDisk,
         };
@@ -322,7 +325,7 @@
 }
 
 /** All adapters of a model that occupy slots on an engine: those that are held, and those being loaded or unloaded. */
-function adapterStages(model: HeldModel, line: OrderDispatcher | undefined): Map<string, AdapterStage> {
+function adapterStages(model: HeldModel, dispatcher: OrderDispatcher | undefined): Map<string, AdapterStage> {
     const stages = new Map(model.adapters.map((adapter): [string, AdapterStage] => [adapter, "held"]));
     const add = (names: Iterable<string>, stage: AdapterStage) => {
         const prefix = `${model.name}/`;
@@ -330,7 +333,7 @@
             stages.set(name.slice(prefix.length), stage)
         );
     };
-    add(line?.loadingAdapters ?? [], "coming");
-    add(line?.unloadingAdapters ?? [], "leaving");
+    add(dispatcher?.loadingAdapters ?? [], "coming");
+    add(dispatcher?.unloadingAdapters ?? [], "leaving");
     return stages;
 }
--- a/packages/fleet/src/plans.ts
+++ b/packages/fleet/src/plans.ts
@@ -45,8 +45,8 @@
     readonly needs: readonly ItemNeed[];
     /** Number of loads from the weight store that may start now. */
     readonly storeLoadBudget: number;
-    /** Prompt tokens a second that one engine can process for a model; undefined while unknown. */
-    readonly capacityOf: (model: string) => number | undefined;
+    /** Prompt tokens per second that one engine can process for a model; undefined while unknown. */
+    readonly throughputOf: (model: string) => number | undefined;
 }
 
 /** An order, the engine that it is for, and the reason that is logged. */
@@ -57,15 +57,15 @@
     readonly fromStore: boolean;
     readonly reason: string;
     /** The model that an unload frees memory for. */
-    readonly makesRoomFor?: string;
+    readonly freesMemoryFor?: string;
 }
 
 /** A model with unserved requests that has no replica and that the plan loads nowhere, with details for the log. */
 export interface UnmetNeed {
     readonly model: string;
-    /** Requests a second. */
+    /** Requests per second. */
     readonly rate: number;
-    /** Requests that wait for a replica, or were refused lately for lack of one. */
+    /** Requests that wait for a replica, or were recently rejected for lack of one. */
     readonly unserved: number;
     /** Number of engines that accept an order now. */
     readonly availableEngines: number;
@@ -197,7 +197,7 @@
         this.state.addPlannedUnload(victim.model.name);
         return {
             engine: engine.id,
-            makesRoomFor: need.model.name,
+            freesMemoryFor: need.model.name,
             order: { kind: "unload", model: victim.model.name, adapter: "" },
             fromStore: false,
             reason: `makes room for ${need.model.name}`,
--- a/packages/fleet/src/planstates.ts
+++ b/packages/fleet/src/planstates.ts
@@ -6,15 +6,15 @@
 /** Demand for a model, including its adapters. */
 export interface ModelNeed {
     readonly model: EngineModel;
-    /** Requests a second. */
+    /** Requests per second. */
     readonly rate: number;
-    /** Requests a second that use an adapter. */
+    /** Requests per second that use an adapter. */
     readonly adapterRate: number;
-    /** Prompt tokens a second. */
+    /** Prompt tokens per second. */
     readonly work: number;
     /** Requests in progress. */
     readonly running: number;
-    /** Requests that wait for a replica, or were refused lately for lack of one. */
+    /** Requests that wait for a replica, or were recently rejected for lack of one. */
     readonly unserved: number;
 }
 
@@ -123,7 +123,7 @@
                 adapterRate: before.adapterRate + (item.key.adapter === "" ? 0 : item.rate),
                 work: before.work + item.work,
                 running: before.running + item.running,
-                unserved: before.unserved + item.lacking,
+                unserved: before.unserved + item.unserved,
             });
         }
     }
--- a/packages/fleet/src/registries.ts
+++ b/packages/fleet/src/registries.ts
@@ -150,7 +150,7 @@
         this.upstreams.set(upstream.id, record);
         this.idOfName.set(upstream.name, upstream.id);
         record.sequence = announcement.sequence;
-        this.markHeard(record);
+        this.recordContact(record);
         record.inMemory = new Set(announcement.inMemory);
         record.onDisk = new Set(announcement.onDisk);
         this.applyAnnouncement(record, upstream, known === undefined);
@@ -165,7 +165,7 @@
         }
         if (sequence > record.sequence) {
             record.sequence = sequence;
-            this.markHeard(record);
+            this.recordContact(record);
         }
         return true;
     }
@@ -311,7 +311,7 @@
         this.removalFloor = 0;
     }
 
-    private markHeard(record: UpstreamRecord): void {
+    private recordContact(record: UpstreamRecord): void {
         record.lastAnnouncedAt = steadyNow();
         record.unreachableReports.clear();
         record.refusedAt = Number.NEGATIVE_INFINITY;
--- a/packages/fleet/src/tests/demands.test.ts
+++ b/packages/fleet/src/tests/demands.test.ts
@@ -49,7 +49,11 @@
                 tokensPerSecond: 10_000,
             }],
         }));
-        expect([tracker.throughputOf("s", "small"), tracker.throughputOf("s", "large"), tracker.throughputOf("s", "other")])
+        expect([
+            tracker.throughputOf("s", "small"),
+            tracker.throughputOf("s", "large"),
+            tracker.throughputOf("s", "other"),
+        ])
             .toEqual([40_000, 10_000, undefined]);
     });
 });
--- a/packages/fleet/src/tests/fixtures.ts
+++ b/packages/fleet/src/tests/fixtures.ts
@@ -62,7 +62,7 @@
         rate: 1,
         work: 1000,
         running: 0,
-        lacking: 0,
+        unserved: 0,
         idleMs: 0,
         ...values,
     };
--- a/packages/fleet/src/tests/largefleets.test.ts
+++ b/packages/fleet/src/tests/largefleets.test.ts
@@ -178,7 +178,7 @@
             engines: fleet,
             needs,
             storeLoadBudget,
-            capacityOf: () => {
+            throughputOf: () => {
                 evaluations += 1;
                 return 10_000;
             },
@@ -206,19 +206,19 @@
         });
         const needs = largeSpec.models.map(({ name }) =>
             unserved.includes(name)
-                ? createNeed(name, { rate: 12, work: 9000, lacking: 40 })
+                ? createNeed(name, { rate: 12, work: 9000, unserved: 40 })
                 : createNeed(name, { rate: 0.1, work: 100 })
         );
         const { plan } = planFor(needs, 16, fleet);
         const loaded = plan.orders.filter(({ order }) => order.kind === "load").map(({ order }) => order.model);
-        const madeRoomFor = plan.orders.flatMap(({ makesRoomFor }) => makesRoomFor ?? []);
-        expect([...loaded, ...madeRoomFor].filter(name => unserved.includes(name)).sort()).toEqual(unserved);
+        const freedMemoryFor = plan.orders.flatMap(({ freesMemoryFor }) => freesMemoryFor ?? []);
+        expect([...loaded, ...freedMemoryFor].filter(name => unserved.includes(name)).sort()).toEqual(unserved);
     });
 
     it("finds the one model that is short of replicas", () => {
         const needs = largeSpec.models.map(({ name }) => createNeed(name, { rate: 2, work: 3000 }));
         needs[5] = createNeed("m5", { rate: 40, work: 20_000 });
         const { plan } = planFor(needs);
-        expect(plan.orders.map(({ makesRoomFor, order }) => makesRoomFor ?? order.model)).toEqual(["m5"]);
+        expect(plan.orders.map(({ freesMemoryFor, order }) => freesMemoryFor ?? order.model)).toEqual(["m5"]);
     });
 });
--- a/packages/fleet/src/tests/plans.test.ts
+++ b/packages/fleet/src/tests/plans.test.ts
@@ -10,7 +10,7 @@
     engines: [],
     needs: [],
     storeLoadBudget: 1,
-    capacityOf: () => 10_000,
+    throughputOf: () => 10_000,
 };
 
 function plan(values: Partial<PlanInput>): string[] {
@@ -24,13 +24,15 @@
 /** Orders that load a model or make room for it. */
 function planFor(model: string, values: Partial<PlanInput>): string[] {
     return planOrders({ ...base, ...values }).orders
-        .filter(({ order, makesRoomFor }) => makesRoomFor === model || (order.kind === "load" && order.model === model))
+        .filter(({ order, freesMemoryFor }) =>
+            freesMemoryFor === model || (order.kind === "load" && order.model === model)
+        )
         .map(describePlanned);
 }
 
 describe("planOrders", () => {
     describe("a model without replicas", () => {
-        const unserved = createNeed("m4", { lacking: 1 });
+        const unserved = createNeed("m4", { unserved: 1 });
         const full = ["m1", "m2", "m3"];
 
         it("is loaded on an engine with enough free memory", () => {
@@ -94,7 +96,7 @@
         it("is loaded even if all engines are overloaded", () => {
             const needs = [
                 createNeed("m1", { rate: 20, work: 60_000 }),
-                createNeed("m4", { rate: 10, work: 30_000, lacking: 20 }),
+                createNeed("m4", { rate: 10, work: 30_000, unserved: 20 }),
             ];
             const engines = ["e1", "e2", "e3"].map(id => createEngine(id, full, { onDisk: new Set(["m4"]) }));
             expect(planFor("m4", { engines, needs }).length).toEqual(1);
@@ -105,7 +107,7 @@
                 createEngine("e1", ["m1"], { onDisk: new Set(["m4"]) }),
                 createEngine("e2", ["m3"], { onDisk: new Set(["m1"]) }),
             ];
-            const needs = [createNeed("m4", { rate: 20, lacking: 20 }), createNeed("m1", { rate: 0.2 })];
+            const needs = [createNeed("m4", { rate: 20, unserved: 20 }), createNeed("m1", { rate: 0.2 })];
             expect(plan({ spec: { ...spec, memoryMb: 100 }, engines, needs })).toEqual(["e1: unload m1"]);
         });
     });
@@ -113,7 +115,7 @@
     it("reports models with unserved requests that it loads nowhere", () => {
         const needs = ["m1", "m2", "m3"].map(model => createNeed(model));
         const engines = [createEngine("e1", ["m1", "m2", "m3"])];
-        const { unmet } = planOrders({ ...base, engines, needs: [...needs, createNeed("m4", { lacking: 1 })] });
+        const { unmet } = planOrders({ ...base, engines, needs: [...needs, createNeed("m4", { unserved: 1 })] });
         expect(unmet.map(({ model, availableEngines }) => [model, availableEngines])).toEqual([["m4", 1]]);
     });
 
@@ -145,7 +147,7 @@
         it("gets no replica while the capacity of engines is unknown", () => {
             const engines = [createEngine("e1", ["m1"]), createEngine("e2", ["m2"])];
             const needs = [createNeed("m1", { work: 9000 })];
-            expect(planFor("m1", { engines, needs, capacityOf: () => undefined })).toEqual([]);
+            expect(planFor("m1", { engines, needs, throughputOf: () => undefined })).toEqual([]);
         });
 
         it("replaces a model with few running requests rather than one with many", () => {
@@ -171,7 +173,7 @@
     });
 
     describe("an adapter", () => {
-        const unserved = createNeed("m1", { lacking: 1 }, "a1");
+        const unserved = createNeed("m1", { unserved: 1 }, "a1");
         const holding = (adapters: readonly string[]): Partial<EngineSnapshot> => ({
             models: new Map([["m1", {
                 isReady: true,
@@ -187,9 +189,9 @@
 
         it("with unserved requests keeps its engine from loading a model", () => {
             const engines = [createEngine("e1", ["m1"], { freeAdapterLoads: 0 })];
-            const needs = [unserved, createNeed("m4", { lacking: 1 })];
+            const needs = [unserved, createNeed("m4", { unserved: 1 })];
             expect(plan({ engines, needs })).toEqual([]);
-            expect(plan({ engines, needs: [createNeed("m4", { lacking: 1 })] })).toEqual(["e1: load m4"]);
+            expect(plan({ engines, needs: [createNeed("m4", { unserved: 1 })] })).toEqual(["e1: load m4"]);
         });
 
         it("replaces the adapter that has been idle for longest", () => {
@@ -260,7 +262,7 @@
                         engines,
                         needs,
                         storeLoadBudget: 1,
-                        capacityOf: () => 10_000,
+                        throughputOf: () => 10_000,
                     });
                     for (const { engine: id, order } of orders.filter(one => one.order.kind === "load")) {
                         const models = engines.find(one => one.id === id)!.models;
--- a/packages/forwarding/src/forwarders.ts
+++ b/packages/forwarding/src/forwarders.ts
@@ -58,7 +58,7 @@
         readonly kind: "upstream";
         readonly endpoint: UpstreamEndpoint;
         /** Whether the upstream had no rate limit when it was selected, or a permit was taken. */
-        readonly verdict: PermitDecision;
+        readonly permitDecision: PermitDecision;
     }
     | Refusal;
 
@@ -193,7 +193,7 @@
     }
 
     /**
-     * Selects an upstream to send the request to. After a back-off, the upstream receives no other request until it
+     * Selects an upstream to send the request to. After a backoff, the upstream receives no other request until it
      * has responded.
      */
     private tryAssign(request: InboundRequest): Extract<Assignment, { readonly kind: "upstream"; }> | Unavailable {
@@ -203,7 +203,7 @@
         }
         const { availability } = this.deps.view;
         availability.sent(selection.endpoint.id);
-        return { ...selection, verdict: availability.rates.acquirePermit(selection.endpoint.id) };
+        return { ...selection, permitDecision: availability.rates.acquirePermit(selection.endpoint.id) };
     }
 
     private selectUpstream(request: InboundRequest): Selection {
@@ -233,7 +233,7 @@
 
     private async sendAttempt(
         request: InboundRequest,
-        { endpoint, verdict }: Extract<Assignment, { readonly kind: "upstream"; }>,
+        { endpoint, permitDecision }: Extract<Assignment, { readonly kind: "upstream"; }>,
         res: ServerResponse,
         key: ItemKey,
         attemptIndex: number,
@@ -254,7 +254,7 @@
                 urgency: this.engineOf(request.service) === undefined ? undefined : Math.min(9, request.priority),
                 stripApiKeys: this.deps.view.configuration?.accounts !== undefined,
                 closing: stopping,
-                maySend: () => this.maySend(request, endpoint, verdict),
+                maySend: () => this.maySend(request, endpoint, permitDecision),
                 headTimeoutMs: this.headTimeoutMs(request, tracked.tokensAhead),
                 onPause: ms => {
                     longestPauseMs = Math.max(longestPauseMs, ms);
@@ -303,9 +303,10 @@
     }
 
     /** Checks again once a connection is available: the upstream may have set a rate limit while the request waited. */
-    private maySend(request: InboundRequest, endpoint: UpstreamEndpoint, verdict: PermitDecision): boolean {
+    private maySend(request: InboundRequest, endpoint: UpstreamEndpoint, permitDecision: PermitDecision): boolean {
         return this.endpoints.isReady(endpoint) && this.denial(request) === undefined
-            && (verdict === "permitted" || this.deps.view.availability.rates.acquirePermit(endpoint.id) !== "refused");
+            && (permitDecision === "permitted"
+                || this.deps.view.availability.rates.acquirePermit(endpoint.id) !== "refused");
     }
 
     /** Undefined if the request must not be repeated, or has no attempts left. */
--- a/packages/forwarding/src/headercodecs.ts
+++ b/packages/forwarding/src/headercodecs.ts
@@ -70,10 +70,10 @@
     /** Whether the upstream does not hold the model, or is not the instance that the request was addressed to. */
     readonly misdirected: boolean;
     readonly load: ReportedLoad | undefined;
-    /** Whether the upstream announces that it is shutting down. */
+    /** Whether the upstream announces that it is draining. */
     readonly leaving: boolean;
     /**
-     * How long this process must not send requests to the upstream, in milliseconds; undefined if no back-off was
+     * How long this process must not send requests to the upstream, in milliseconds; undefined if no backoff was
      * requested.
      */
     readonly restMs: number | undefined;
--- a/packages/forwarding/src/inboundrequests.ts
+++ b/packages/forwarding/src/inboundrequests.ts
@@ -99,6 +99,6 @@
 }
 
 function estimateOutputTokens(request: InboundRequest): number {
-    const { expectedOutputTokens: likelyOutputTokens, maxOutputTokens } = request.metadata;
-    return Math.min(likelyOutputTokens ?? maxOutputTokens, maxOutputTokens);
+    const { expectedOutputTokens, maxOutputTokens } = request.metadata;
+    return Math.min(expectedOutputTokens ?? maxOutputTokens, maxOutputTokens);
 }
--- a/packages/forwarding/src/upstreamselectors.ts
+++ b/packages/forwarding/src/upstreamselectors.ts
@@ -25,7 +25,7 @@
     | { readonly kind: "full"; }
     /**
      * All upstreams that hold the model asked this entry to back off; `until`: monotonic time at which the first
-     * back-off ends.
+     * backoff ends.
      */
     | { readonly kind: "resting"; readonly until: number; }
     /** All eligible upstreams are rate limited; `until`: monotonic time at which a permit may be available. */
@@ -58,7 +58,7 @@
         if (holders.length === 0) {
             return { kind: "lacking" };
         }
-        // Filtered before ejections, which are ignored when too few upstreams are left; a back-off always holds.
+        // Filtered before ejections, which are ignored when too few upstreams are left; a backoff always holds.
         const { usable: available, until } = excludeBackingOff(this.availability, holders, ({ id }) => id);
         if (available.length === 0) {
             return { kind: "resting", until };
--- a/packages/forwarding/src/upstreamsignals.ts
+++ b/packages/forwarding/src/upstreamsignals.ts
@@ -1,4 +1,4 @@
-/** Handles availability signals in response headers: shutdown, rate limits and back-off. */
+/** Handles availability signals in response headers: draining, rate limits and backoff. */
 import { type AvailabilityTracker, UnsupportedNameReporter } from "@winchpath/availability";
 import { type EventLog, type Metrics } from "@winchpath/core";
 import { type DemandMeter } from "@winchpath/fleet";
@@ -32,7 +32,7 @@
         sentAt: number,
     ): void {
         if (metadata.leaving) {
-            this.handleLeaving(request, endpoint);
+            this.handleDraining(request, endpoint);
         }
         if (metadata.sealed) {
             // Responses without a seal may come from elsewhere, with arbitrary headers.
@@ -48,7 +48,7 @@
             this.deps.log.info("upstream.unlimited", { upstream: endpoint.id, request: request.id });
         }
         if (metadata.restMs !== undefined) {
-            this.handleBackOff(request, endpoint, metadata.restMs);
+            this.handleBackoff(request, endpoint, metadata.restMs);
         }
         else if (this.deps.availability.answered(endpoint.id)) {
             this.deps.log.info("upstream.rested", { upstream: endpoint.id, request: request.id });
@@ -56,7 +56,7 @@
     }
 
     /** Stops sending new requests to the upstream; running ones continue. */
-    private handleLeaving(request: InboundRequest, endpoint: UpstreamEndpoint): void {
+    private handleDraining(request: InboundRequest, endpoint: UpstreamEndpoint): void {
         if (!this.deps.availability.markDraining(endpoint.id)) {
             return;
         }
@@ -80,7 +80,7 @@
         this.deps.metrics.count("upstream_limits_total", { service: request.service });
     }
 
-    private handleBackOff(request: InboundRequest, endpoint: UpstreamEndpoint, restMs: number): void {
+    private handleBackoff(request: InboundRequest, endpoint: UpstreamEndpoint, restMs: number): void {
         this.deps.availability.startBackoff(endpoint.id, restMs);
         this.deps.log.warn("upstream.rests", { upstream: endpoint.id, restMs, request: request.id });
         this.deps.metrics.count("upstream_rests_total", { service: request.service });
--- a/packages/quarantine/src/crashmonitors.ts
+++ b/packages/quarantine/src/crashmonitors.ts
@@ -1,6 +1,6 @@
 /**
  * The leader's side: collects reports from entries about upstreams that seem to have crashed, verifies the crashes and
- * writes them to the replicated log. Connection resets and announced shutdowns don't count as crashes.
+ * writes them to the replicated log. Connection resets and draining upstreams that stop don't count as crashes.
  */
 import { type EventLog, messageOf, type Metrics, Notifier, steadyNow } from "@winchpath/core";
 import { randomBytes } from "node:crypto";
@@ -63,7 +63,7 @@
     public constructor(private readonly options: CrashMonitorOptions) {}
 
     public addReports(entry: string, reports: readonly ObservedCrash[], succeeded: readonly string[]): void {
-        reports.forEach(sight => this.addReport(entry, sight));
+        reports.forEach(report => this.addReport(entry, report));
         const cleared = succeeded.filter(fingerprint => this.options.book().find(fingerprint) !== undefined);
         if (cleared.length > 0) {
             this.options.log.info("request.cleared", { entry, fingerprints: cleared });
--- a/packages/quarantine/src/fingerprints.ts
+++ b/packages/quarantine/src/fingerprints.ts
@@ -5,9 +5,9 @@
 export interface RequestIdentity {
     readonly method: string;
     readonly host: string;
-    /** Path and query as sent by the caller. */
+    /** Path and query as sent by the client. */
     readonly url: string;
-    /** Client account of the caller; undefined if the route requires none. */
+    /** Account of the client; undefined if the route requires none. */
     readonly account: string | undefined;
     readonly body: Uint8Array;
 }
@@ -16,7 +16,7 @@
 const fingerprintBytes = 16;
 
 /**
- * Computes a fingerprint with the fleet's secret key, so that callers can't construct collisions or recognize a body.
+ * Computes a fingerprint with the fleet's secret key, so that clients can't construct collisions or recognize a body.
  */
 export function fingerprintOf(key: Uint8Array, { method, host, url, account = "", body }: RequestIdentity): string {
     const hmac = createHmac("sha256", key);
--- a/packages/quarantine/src/quarantinestates.ts
+++ b/packages/quarantine/src/quarantinestates.ts
@@ -6,7 +6,7 @@
 import { CrashAttribution, type CrashSuspect, StoredCrash } from "./crashattributions.js";
 import { type ListedRequest, QuarantineChangeLog, type QuarantineChanges } from "./quarantinechanges.js";
 
-/** How long a crash counts against the requests that were running, in milliseconds; callers retry within minutes. */
+/** How long a crash counts against the requests that were running, in milliseconds; clients retry within minutes. */
 const crashRetentionMs = 600_000;
 /**
  * The first bar lasts this long, in milliseconds, and each further one twice as long. After a bar the request is on
--- a/packages/routing/src/routers.ts
+++ b/packages/routing/src/routers.ts
@@ -42,19 +42,19 @@
         if (untried.length === 0) {
             return { tag: "none" };
         }
-        const notShuttingDown = untried.filter(({ incarnation }) => !this.availability.isDraining(incarnation));
-        if (notShuttingDown.length === 0) {
+        const notDraining = untried.filter(({ incarnation }) => !this.availability.isDraining(incarnation));
+        if (notDraining.length === 0) {
             return { tag: "none" };
         }
-        const { usable: awake, until } = excludeBackingOff(
+        const { usable: notBackingOff, until } = excludeBackingOff(
             this.availability,
-            notShuttingDown,
+            notDraining,
             ({ incarnation }) => incarnation,
         );
-        if (awake.length === 0) {
+        if (notBackingOff.length === 0) {
             return { tag: "resting", until };
         }
-        const notEjected = this.ejections.withoutEjected(awake);
+        const notEjected = this.ejections.withoutEjected(notBackingOff);
         const underCapacity = notEjected.filter(replica =>
             this.loads.estimate(replica) < replica.capacity * fullUtilization
         );
--- a/packages/winchpathd/src/platformcontrols.ts
+++ b/packages/winchpathd/src/platformcontrols.ts
@@ -319,7 +319,7 @@
                 processReports: (from: string, reports: readonly RateReport[]) =>
                     this.rateLimits.processReports(from, reports),
             },
-            crashWatch: () => this.isLeader ? this.leadership?.crashMonitor : undefined,
+            crashMonitor: () => this.isLeader ? this.leadership?.crashMonitor : undefined,
             onDemandReport: (report: DemandRequest) => {
                 report.mismatches.forEach(mismatch => this.leadership?.placement.resyncAfterMismatch(mismatch));
                 report.unreachable.forEach(id => this.registry.reportUnreachable(id, report.entry));
