--- a/packages/accounts/src/limitcoordinators.ts
+++ b/packages/accounts/src/limitcoordinators.ts
@@ -14,7 +14,7 @@
     maxUnreportedUnits,
 } from "./counts.js";
 
-/** Fill levels, as shares of the bucket size, at which enforcement by grants starts and stops. */
+/** Fill levels, as shares of the bucket size, below which admission requires grants, and above which it no longer does. */
 export interface EnforcementThresholds {
     readonly enforceBelow: number;
     readonly releaseAbove: number;
--- a/packages/fleet/src/announcements.ts
+++ b/packages/fleet/src/announcements.ts
@@ -7,7 +7,7 @@
 import { type Incarnation, incarnationId } from "./incarnations.js";
 import { type Registry } from "./registries.js";
 
-/** How long a departure waits for entries to confirm it; below the one second after which callers time out. */
+/** Maximum time to wait for entries to confirm a departure; callers time out after one second. */
 const confirmationTimeoutMs = 500;
 const relayTimeoutMs = 800;
 /** Replaces the leader's URL if this host is the leader. */
--- a/packages/fleet/src/demandhistories.ts
+++ b/packages/fleet/src/demandhistories.ts
@@ -3,7 +3,7 @@
 import { halfLifeMs } from "./demands.js";
 import { type ItemKey, itemMapKey } from "./items.js";
 
-/** Items without requests for ten half-lives are removed: less than a thousandth of their demand remains. */
+/** Items without requests for ten half-lives are removed, as almost nothing of their demand remains. */
 const retentionMs = 10 * halfLifeMs;
 
 /** Exponentially decaying request count of one item, with the leader's half-life. */
--- a/packages/fleet/src/feeds.ts
+++ b/packages/fleet/src/feeds.ts
@@ -9,9 +9,9 @@
 import { modelMapKey } from "./items.js";
 import { type Registry } from "./registries.js";
 
-/** An entry that has not polled for this long counts as disconnected (three polls). */
+/** An entry that has not polled for this long, three polls, counts as disconnected. */
 const entryTimeoutMs = 3000;
-/** Time for a new leader to receive an announcement from every upstream (three at the default interval). */
+/** Time for a new leader to hear from every upstream; covers three announcements at the default interval. */
 const warmUpMs = 4000;
 
 /** How long the count of live entries is cached. */
@@ -180,7 +180,7 @@
         return answeredAt + minResponseIntervalMs(this.liveEntries) - steadyNow();
     }
 
-    /** Whether a delay would misroute requests or keep them waiting. */
+    /** Whether delaying the changes would misroute requests or keep them waiting. */
     private isUrgent(req: PollRequest): boolean {
         const position = Number(req.position);
         if (this.registry.urgentPosition > position || this.hasNewerDocument(req) || this.hasNewerQuarantine(req)) {
--- a/packages/fleet/src/loadscorers.ts
+++ b/packages/fleet/src/loadscorers.ts
@@ -10,7 +10,7 @@
 const planningHorizonMs = 15_000;
 /** Share of the total request rate that is spread over all models, for those without recent demand. */
 const baselineDemandShare = 0.1;
-/** Lower bound of the total request rate for each engine, which the baseline is derived from. */
+/** Minimum request rate per engine from which the baseline is derived. */
 const minRatePerEngine = 1;
 /** Share of an engine's prompt throughput that a replica is planned for; above it, queueing dominates latency. */
 const targetUtilization = 0.7;
@@ -23,7 +23,7 @@
  * later demand, and demand may have changed by the time that a slow load completes.
  */
 const replacementCostPerSecond = 1.2;
-/** The same for a model with unserved requests and no replica, so that slow loads stay possible for it. */
+/** The same for a model with unserved requests and no replica; lower, so that slow loads stay possible. */
 const unservedReplacementCostPerSecond = 0.3;
 /** Fixed cost of an unload, in requests: the orders themselves, and the loss of cached prompts. */
 const fixedUnloadCost = 0.1;
--- a/packages/fleet/src/orderdispatchers.ts
+++ b/packages/fleet/src/orderdispatchers.ts
@@ -8,7 +8,7 @@
 
 /** Delay before an unanswered order is sent again, in milliseconds. */
 const retryDelayMs = 300;
-/** A report describes a state up to this old; it is only read this long after the last reply, in milliseconds. */
+/** Maximum age of the state in a report, in milliseconds. Reports are read only this long after the last reply. */
 const maxReportAgeMs = 400;
 /** Attempts to send an order before the engine's state is read again. */
 const maxAttempts = 8;
@@ -179,8 +179,9 @@
 
     /**
      * Adjusts the expected count after an order. The engine does not count the unload of an adapter that is absent or
-     * already being unloaded, but replies alike, so only unloads of adapters that this dispatcher has loaded are sure
-     * to count. The count must never be too high: a late copy could then be accepted in a state it was not planned for.
+     * already being unloaded, but sends the same reply, so only unloads of adapters that this dispatcher has loaded
+     * certainly count. If the expected count were too high, the engine could accept a late copy of an order in a state
+     * that it was not planned for.
      */
     private updateExpected(order: EngineOrder): void {
         const isCounted = !isAdapterUnload(order) || this.loadedAdapters.delete(qualifiedAdapterName(order));
--- a/packages/fleet/src/orderleases.ts
+++ b/packages/fleet/src/orderleases.ts
@@ -6,9 +6,9 @@
 import { type RpcClients } from "@winchpath/rpc";
 import { FleetService, type YieldResponse } from "./gen/winchpath/fleet/v1/fleet_pb.js";
 
-/** A host that does not answer in time is treated as disconnected or stopping, in milliseconds. */
+/** Timeout after which a host counts as disconnected or stopping, in milliseconds. */
 const yieldTimeoutMs = 300;
-/** Added to the lease for the previous holder's last order that may still be in flight, in milliseconds. */
+/** Added to the lease, since the previous holder's last order may still be in flight, in milliseconds. */
 const inFlightMarginMs = 200;
 
 /** Records when this process last sent an order, and the token under which it may send more. */
--- a/packages/fleet/src/placements.ts
+++ b/packages/fleet/src/placements.ts
@@ -18,17 +18,17 @@
 
 /** Interval of plans while nothing changes, in milliseconds. */
 const planIntervalMs = 500;
-/** Least interval between log lines about unmet demand, in milliseconds. */
+/** Minimum interval between log lines about unmet demand, in milliseconds. */
 const unmetLogIntervalMs = 500;
-/** Least pause between two plans, in milliseconds. */
+/** Minimum pause between two plans, in milliseconds. */
 const minPlanPauseMs = 10;
-/** Share of the leader's time that planning may take: the pause between plans grows with their duration. */
+/** Maximum share of the leader's time spent on planning; the pause between plans grows with their duration. */
 const maxPlanTimeShare = 0.05;
-/** Upper bound of that pause, in milliseconds. */
+/** Maximum pause between two plans, in milliseconds. */
 const maxPlanPauseMs = 100;
-/** Duration of an unload without running requests, in milliseconds, after which its completion is polled. */
+/** Expected duration of an unload, in milliseconds; its completion is polled afterwards. */
 const expectedUnloadMs = 5;
-/** Least interval between two reads of an engine's state, in milliseconds. */
+/** Minimum interval between two reads of an engine's state, in milliseconds. */
 const minSyncIntervalMs = 1000;
 /** How long an earlier leader's loads count against the store's rate limit, in milliseconds. */
 const storeTakeoverMs = 5000;
@@ -43,7 +43,7 @@
 export interface PlacementContext {
     /** How often upstreams announce themselves, in milliseconds. */
     readonly announceMs: number;
-    /** Fencing token for orders; undefined while this host may not give any. */
+    /** Fencing token for orders; undefined while this host may not send any. */
     fence(): Fence | undefined;
     /** Called when an order is sent. */
     orderSent(): void;
--- a/packages/fleet/src/plans.ts
+++ b/packages/fleet/src/plans.ts
@@ -34,7 +34,7 @@
     readonly adapters: ReadonlyMap<string, AdapterStage>;
 }
 
-/** An adapter that is leaving finishes its running requests and accepts no new ones. */
+/** "coming": being loaded; "leaving": accepts no new requests and is unloaded once the running ones end. */
 export type AdapterStage = "coming" | "held" | "leaving";
 
 /** One service with its engines and its demand. */
--- a/packages/fleet/src/registries.ts
+++ b/packages/fleet/src/registries.ts
@@ -15,13 +15,13 @@
 import { PendingAnnouncements } from "./pendingannouncements.js";
 
 /**
- * An upstream is removed after this long without an announcement (ten at the default interval of 1.2 s).
- * Entries detect failures themselves, so this only frees stale records.
+ * An upstream is removed after this long without an announcement, ten default intervals. Entries detect failures
+ * themselves, so this only frees stale records.
  */
 const expireAfterMs = 12_000;
 /** How long a possibly delayed announcement is remembered. */
 const delayRecordTtlMs = 60_000;
-/** An upstream owns its address until this long after its last announcement (two at the default interval). */
+/** An upstream owns its address until this long after its last announcement; two default intervals. */
 const addressHeldMs = 2400;
 /** Delayed announcements arrive within this time of each other; a live sender's next one arrives later. */
 const maxDelayMs = 600;
@@ -387,8 +387,8 @@
 
     /**
      * Whether an announcement may be a delayed one of a crashed process: its sender is unknown here but isn't
-     * new, and its address belongs to another live upstream or an incarnation of its name has ended.
-     * A live sender is accepted with a later announcement.
+     * new, and its address belongs to another live upstream, or an incarnation of its name has ended.
+     * A live sender is accepted once it announces itself again.
      */
     private mayBeDelayed(announcement: Announcement): boolean {
         const { id, address } = announcement.upstream!;
--- a/packages/fleet/src/storeloadlimiters.ts
+++ b/packages/fleet/src/storeloadlimiters.ts
@@ -3,7 +3,7 @@
 
 /** Window over which the store's rate limit applies, in milliseconds. */
 const rateWindowMs = 5000;
-/** Starts that a new leader may add to unknown ones of its predecessor: the store tolerates this excess in a window. */
+/** Loads that a new leader may start while its predecessor's are unknown; the store tolerates this excess. */
 const takeoverStarts = 3;
 
 export class StoreLoadLimiter {
@@ -29,8 +29,9 @@
     }
 
     /**
-     * Upper bound of the loads that an earlier leader started within the window. Where loads last longer than the
-     * window, it is the number of engines that have not been seen idle since; otherwise loads may have ended unnoticed.
+     * Upper bound of the loads that an earlier leader started within the window. If loads last longer than the window,
+     * it is the number of engines that have not been seen idle since; if not, loads may have ended unnoticed, and there
+     * is no bound.
      */
     public static maxInheritedStarts(unverifiedEngines: number, shortestLoadMs: number): number {
         return shortestLoadMs >= rateWindowMs ? unverifiedEngines : Number.POSITIVE_INFINITY;
--- a/packages/forwarding/src/responders.ts
+++ b/packages/forwarding/src/responders.ts
@@ -61,7 +61,7 @@
         this.deps.metrics.histogram("request", { route: request.route.name, outcome }).record(ageMs(request));
     }
 
-    /** Logs an event of a request; everything but a successful attempt is logged as a warning. */
+    /** Logs an event of a request, as a warning unless it is a successful attempt. */
     public logEvent(request: InboundRequest, event: string, fields: LogFields): void {
         const { model, adapter } = request.metadata;
         const failed = event !== "attempt" || fields.outcome !== "answered";
--- a/packages/forwarding/src/upstreamselectors.ts
+++ b/packages/forwarding/src/upstreamselectors.ts
@@ -58,7 +58,7 @@
         if (holders.length === 0) {
             return { kind: "lacking" };
         }
-        // Filtered before ejections, which are ignored when too few upstreams are left; a backoff always holds.
+        // Applied before ejections: unlike a backoff, they are ignored when too few upstreams would remain.
         const { usable: available, until } = excludeBackingOff(this.availability, holders, ({ id }) => id);
         if (available.length === 0) {
             return { kind: "resting", until };
--- a/packages/forwarding/src/waitpolicies.ts
+++ b/packages/forwarding/src/waitpolicies.ts
@@ -8,9 +8,9 @@
 import { LocalResponse } from "./localresponses.js";
 import { type Selection } from "./upstreamselectors.js";
 
-/** Share of the objective within which requests are refused, so that a retry can still meet it. */
+/** Requests are refused within this share of their objective, so that a retry can still meet it. */
 const refusalObjectiveShare = 0.2;
-/** Share of the objective within which a model load has to finish for a request to wait for it. */
+/** A request waits for a model load that finishes within this share of its objective. */
 const loadWaitObjectiveShare = 0.7;
 /** Ratio of the total time of a load, including unloading another model, to the model's load time. */
 const loadTimeFactor = 1.6;
@@ -25,11 +25,11 @@
 /** Retry-After if no upstream is known, in milliseconds. */
 const noUpstreamRetryMs = 1000;
 
-/** An attempt times out without response headers after this multiple of the expected processing time, */
+/** Timeout for response headers, as a multiple of the expected processing time. */
 const headTimeoutExpectedFactor = 4;
-/** but not before this multiple of the objective, */
+/** Lower bound of that timeout, as a multiple of the objective. */
 const headTimeoutObjectives = 2;
-/** and early enough to leave time for another upstream: at most this share of the time that the client waits. */
+/** Upper bound of that timeout, as a share of the time that the client still waits, so that another upstream can be tried. */
 const headTimeoutWaitShare = 0.5;
 
 /**
--- a/packages/quarantine/src/crashattributions.ts
+++ b/packages/quarantine/src/crashattributions.ts
@@ -13,7 +13,7 @@
  */
 export const maxCrashesPerRequest = 2;
 /**
- * Occasions from which a suspect counts as the cause; harmless requests that are repeated during failures reach fewer.
+ * Number of occasions after which a suspect counts as the cause; harmless requests that are retried reach fewer.
  */
 export const occasionsToBar = 3;
 /**
--- a/packages/quarantine/src/quarantinestates.ts
+++ b/packages/quarantine/src/quarantinestates.ts
@@ -18,7 +18,7 @@
 const probationMs = 3_600_000;
 /** Maximum number of requests that are barred or on probation; the oldest are evicted. */
 const maxTrackedRequests = 2000;
-/** Entries are told of a suspect from this many occasions on, since the next crash or success decides on it. */
+/** Suspects are listed for entries from this many occasions on, since the next crash may bar them. */
 const occasionsToList = 2;
 
 const BarredRequest = Type.Object({
