--- a/packages/fleet/src/orderdispatchers.ts
+++ b/packages/fleet/src/orderdispatchers.ts
@@ -48,15 +48,15 @@
     /** Models being loaded. */
     private readonly loading = new Set<string>();
     /** Adapters being loaded, as "model/adapter". */
-    private readonly pendingAdapterLoads = new Set<string>();
+    private readonly transits = new Set<string>();
     /** Adapters whose unload waits for running requests, as "model/adapter". */
-    private readonly pendingAdapterUnloads = new Set<string>();
+    private readonly departures = new Set<string>();
     /** Adapters that this dispatcher has loaded and not unloaded since. */
-    private readonly loadedAdapters = new Set<string>();
+    private readonly loaded = new Set<string>();
     /** Lower bound of the number of orders that the engine has accepted; undefined while its state has to be read. */
     private expected: number | undefined;
     /** Whether an order is being executed or a report read. */
-    private isBusy = false;
+    private occupied = false;
     private hasReadReport = false;
     /** Monotonic time of the last reply to an order. */
     private lastReplyAt = Number.NEGATIVE_INFINITY;
@@ -72,7 +72,7 @@
 
     /** Whether the next order can be sent. */
     public get isReady(): boolean {
-        return !this.isBusy && !this.stopped && this.expected !== undefined;
+        return !this.occupied && !this.stopped && this.expected !== undefined;
     }
 
     /** Whether the engine has ever reported to this dispatcher that no model order was in progress. */
@@ -86,16 +86,16 @@
 
     /** Adapters being loaded, as "model/adapter". */
     public get loadingAdapters(): ReadonlySet<string> {
-        return this.pendingAdapterLoads;
+        return this.transits;
     }
 
     /** Adapters being unloaded, as "model/adapter". They occupy their slots until their last request ends. */
     public get unloadingAdapters(): ReadonlySet<string> {
-        return this.pendingAdapterUnloads;
+        return this.departures;
     }
 
     public get availableAdapterLoads(): number {
-        return this.isReady ? maxConcurrentAdapterLoads - this.pendingAdapterLoads.size : 0;
+        return this.isReady ? maxConcurrentAdapterLoads - this.transits.size : 0;
     }
 
     /** Stops sending orders. */
@@ -106,22 +106,22 @@
     /** Reads the models and adapters that the engine holds, and how many orders it has accepted. */
     public async refresh(): Promise<void> {
         const upstream = this.upstream;
-        if (upstream === undefined || this.isBusy) {
+        if (upstream === undefined || this.occupied) {
             return;
         }
-        this.isBusy = true;
+        this.occupied = true;
         try {
             await this.readReport(upstream);
         }
         finally {
-            this.isBusy = false;
+            this.occupied = false;
             this.owner.onChange();
         }
     }
 
     /** Executes an order; resolves once the engine can take another. */
     public async execute(order: EngineOrder, expectedMs: number): Promise<void> {
-        this.isBusy = true;
+        this.occupied = true;
         if (order.kind === "load" && order.adapter === "") {
             // Listed before it is accepted, so that the planner does not load it on another engine as well.
             this.loading.add(order.model);
@@ -131,7 +131,7 @@
         }
         finally {
             this.loading.delete(order.model);
-            this.isBusy = false;
+            this.occupied = false;
             this.owner.onChange();
         }
     }
@@ -184,7 +184,7 @@
      * that it was not planned for.
      */
     private updateExpected(order: EngineOrder): void {
-        const isCounted = !isAdapterUnload(order) || this.loadedAdapters.delete(qualifiedAdapterName(order));
+        const isCounted = !isAdapterUnload(order) || this.loaded.delete(qualifiedAdapterName(order));
         // A failed adapter load may have cleared the count while this order was in flight.
         this.expected = isCounted && this.expected !== undefined ? this.expected + 1 : undefined;
     }
@@ -217,8 +217,8 @@
             expected: this.expected,
             token: fence.token,
             held: heldAdapterNames(upstream).length,
-            underWay: this.pendingAdapterLoads.size,
-            leaving: this.pendingAdapterUnloads.size,
+            underWay: this.transits.size,
+            leaving: this.departures.size,
             reply,
             tookMs: Math.round(steadyNow() - sentAt),
         });
@@ -272,17 +272,17 @@
 
     private async trackAdapterLoad(order: EngineOrder): Promise<void> {
         const name = qualifiedAdapterName(order);
-        this.pendingAdapterLoads.add(name);
+        this.transits.add(name);
         this.owner.onChange();
         if (await this.waitForAdapterLoad(order)) {
-            this.loadedAdapters.add(name);
+            this.loaded.add(name);
             this.recordCompletion(order);
         }
         else {
             // It may occupy a slot nevertheless: read the engine's state before the next order.
             this.expected = undefined;
         }
-        this.pendingAdapterLoads.delete(name);
+        this.transits.delete(name);
         this.owner.onChange();
     }
 
@@ -290,7 +290,7 @@
     private async waitForAdapterLoad(order: EngineOrder): Promise<boolean> {
         for (const delayMs of adapterPollDelaysMs) {
             await sleep(delayMs);
-            while (this.isBusy && this.upstream !== undefined) {
+            while (this.occupied && this.upstream !== undefined) {
                 // The engine rejects adapter orders while it loads or unloads a model.
                 await sleep(busyPollMs);
             }
@@ -309,11 +309,11 @@
     private async trackAdapterUnload(order: EngineOrder): Promise<void> {
         const name = qualifiedAdapterName(order);
         this.log.info("adapter.leaving", { upstream: this.id, adapter: name });
-        this.pendingAdapterUnloads.add(name);
+        this.departures.add(name);
         this.updateModels(models => applyOrder(models, order));
         this.owner.onChange();
         await this.waitForAdapterUnload(order);
-        this.pendingAdapterUnloads.delete(name);
+        this.departures.delete(name);
         this.log.info("adapter.left", { upstream: this.id, adapter: name });
         this.owner.onChange();
     }
@@ -335,7 +335,7 @@
 
     private async isUnloaded(order: EngineOrder): Promise<boolean> {
         const reply = await this.send(order);
-        if (reply === OrderReply.conflict && !this.isBusy) {
+        if (reply === OrderReply.conflict && !this.occupied) {
             // The engine has accepted orders from another sender: read its state before the next order.
             this.expected = undefined;
         }
@@ -389,7 +389,7 @@
         }
         this.hasReadReport = true;
         this.expected = report.orders;
-        this.loadedAdapters.clear();
+        this.loaded.clear();
         this.registry.setModels(this.id, report.models.map(model => this.withoutUnloadingAdapters(model)));
         this.log.info("engine.read", {
             upstream: this.id,
@@ -402,7 +402,7 @@
     /** Removes adapters that are being unloaded: reports list them until their last request ends. */
     private withoutUnloadingAdapters(model: HeldModel): HeldModel {
         const copy = clone(HeldModelSchema, model);
-        copy.adapters = copy.adapters.filter(adapter => !this.pendingAdapterUnloads.has(`${model.name}/${adapter}`));
+        copy.adapters = copy.adapters.filter(adapter => !this.departures.has(`${model.name}/${adapter}`));
         return copy;
     }
 }
--- a/packages/fleet/src/placements.ts
+++ b/packages/fleet/src/placements.ts
@@ -52,7 +52,8 @@
 
 /** Plans and sends orders for the duration of one leadership. */
 export class PlacementController implements OrderDispatcherOwner {
-    private readonly dispatchers = new Map<string, OrderDispatcher>();
+    /** Order dispatchers by upstream id. */
+    private readonly lines = new Map<string, OrderDispatcher>();
     /** Monotonic time of the last attempt to read each engine's state. */
     private readonly lastSyncTimes = new Map<string, number>();
     /** Models that memory is being freed for, by engine. */
@@ -103,7 +104,7 @@
 
     /** Rereads an engine's state after it told an entry that it does not hold an expected model or adapter. */
     public resyncAfterMismatch(mismatch: Mismatch): void {
-        const dispatcher = this.dispatchers.get(mismatch.upstream);
+        const dispatcher = this.lines.get(mismatch.upstream);
         const name = mismatch.adapter === "" ? mismatch.model : `${mismatch.model}/${mismatch.adapter}`;
         if (dispatcher !== undefined && this.claimSync(mismatch.upstream)) {
             this.log.warn("engine.mismatch", { upstream: mismatch.upstream, item: name });
@@ -129,7 +130,7 @@
                 this.log.warn("plan.failed", { error: messageOf(err) });
             }
         }
-        this.dispatchers.forEach(dispatcher => dispatcher.stop());
+        this.lines.forEach(dispatcher => dispatcher.stop());
     }
 
     private planServices(): void {
@@ -168,7 +169,7 @@
     /** Upper bound of an earlier leader's recent loads from the store, by the engines not yet seen idle. */
     private maxInheritedStarts(service: string, spec: EngineSpec): number {
         const unverified = this.registry.all().filter(({ upstream }) =>
-            upstream.service === service && this.dispatchers.get(upstream.id)?.hasSeenIdle !== true
+            upstream.service === service && this.lines.get(upstream.id)?.hasSeenIdle !== true
         );
         return StoreLoadLimiter.maxInheritedStarts(
             unverified.length,
@@ -213,7 +214,7 @@
     }
 
     private sendOrder(service: string, planned: PlannedOrder, spec: EngineSpec): void {
-        const dispatcher = this.dispatchers.get(planned.engine);
+        const dispatcher = this.lines.get(planned.engine);
         if (dispatcher === undefined || !dispatcher.isReady) {
             return;
         }
@@ -262,19 +263,19 @@
             if (!engineServices.has(upstream.service)) {
                 continue;
             }
-            let dispatcher = this.dispatchers.get(upstream.id);
+            let dispatcher = this.lines.get(upstream.id);
             if (dispatcher === undefined) {
                 dispatcher = new OrderDispatcher(upstream.id, this.registry, this.engineClient, this, this.log);
-                this.dispatchers.set(upstream.id, dispatcher);
+                this.lines.set(upstream.id, dispatcher);
             }
             if (!dispatcher.isReady && upstream.state === UpstreamState.READY && this.claimSync(upstream.id)) {
                 void dispatcher.refresh();
             }
         }
-        for (const [id, dispatcher] of this.dispatchers) {
+        for (const [id, dispatcher] of this.lines) {
             if (this.registry.get(id) === undefined) {
                 dispatcher.stop();
-                this.dispatchers.delete(id);
+                this.lines.delete(id);
                 this.lastSyncTimes.delete(id);
                 this.reservations.delete(id);
                 this.suspectedEngines.delete(id);
@@ -294,7 +295,7 @@
 
     private snapshotEngine(known: RegisteredUpstream): EngineSnapshot {
         const { upstream, inMemory, onDisk } = known;
-        const dispatcher = this.dispatchers.get(upstream.id);
+        const dispatcher = this.lines.get(upstream.id);
         const models = new Map<string, ModelSnapshot>();
         for (const held of upstream.models) {
             models.set(held.name, {
--- a/packages/fleet/src/tests/plans.test.ts
+++ b/packages/fleet/src/tests/plans.test.ts
@@ -21,7 +21,7 @@
     return `${id}: ${order.kind} ${order.model}${order.adapter === "" ? "" : `/${order.adapter}`}`;
 }
 
-/** Orders that load a model or make room for it. */
+/** Orders that load a model or free memory for it. */
 function planFor(model: string, values: Partial<PlanInput>): string[] {
     return planOrders({ ...base, ...values }).orders
         .filter(({ order, freesMemoryFor }) =>
--- a/packages/fleet/src/tests/simulatedengines.ts
+++ b/packages/fleet/src/tests/simulatedengines.ts
@@ -281,12 +281,12 @@
 
     /** The leader's view of the engine, with private fields of its dispatcher read by name. */
     public get state(): unknown {
-        const line = (Reflect.get(this.placement, "lines") as Map<string, object>).get("u") ?? {};
+        const dispatcher = (Reflect.get(this.placement, "lines") as Map<string, object>).get("u") ?? {};
         const fields = ["expected", "occupied", "loading", "transits", "departures", "loaded"];
         const listedModels = this.registry.get("u")!.upstream.models.map((
             { name, adapters, leaving },
         ) => [name, adapters, leaving]);
-        return [listedModels, ...fields.map(field => toPlain(Reflect.get(line, field)))];
+        return [listedModels, ...fields.map(field => toPlain(Reflect.get(dispatcher, field)))];
     }
 
     private async reportDemand(): Promise<void> {
--- a/packages/fleet/src/tests/takeovers.test.ts
+++ b/packages/fleet/src/tests/takeovers.test.ts
@@ -16,11 +16,11 @@
 
     it("learns earlier demand from each entry's first report", async t => {
         t.mock.timers.enable({ apis: ["Date", "setTimeout"], now: 1_000_000 });
-        let book = new DemandTracker(silentLog);
+        let tracker = new DemandTracker(silentLog);
         let followed: FollowedLeader = { url: "http://a", epoch: "1" };
         const client = {
             reportDemand: async (req: DemandRequest) => {
-                book.take({
+                tracker.take({
                     ...req,
                     items: req.items.map(item => Object.assign({ earlier: 0, earlierWork: 0 }, item)),
                 });
@@ -40,24 +40,24 @@
             meter.recordThroughput("s", "m", 9000);
             await advanceTime(t, 1000);
         }
-        const before = book.needs()[0];
-        book = new DemandTracker(silentLog);
+        const before = tracker.needs()[0];
+        tracker = new DemandTracker(silentLog);
         followed = { url: "http://b", epoch: "2" };
         meter.arrived(key, 2000);
         await advanceTime(t, 1200);
-        const [after] = book.needs();
-        expect(book.hasEnoughReports).toEqual(true);
+        const [after] = tracker.needs();
+        expect(tracker.hasEnoughReports).toEqual(true);
         expect(Math.abs(after.rate / before.rate - 0.8)).toBeLessThan(0.2);
-        expect(book.throughputOf("s", "m")).toEqual(9000);
+        expect(tracker.throughputOf("s", "m")).toEqual(9000);
         abort.abort();
     });
 
     it("that receives no earlier demand waits for three reports", t => {
         t.mock.timers.enable({ apis: ["Date"], now: 1_000_000 });
-        const book = new DemandTracker(silentLog);
+        const tracker = new DemandTracker(silentLog);
         t.mock.timers.tick(1000);
-        expect(book.hasEnoughReports).toEqual(false);
+        expect(tracker.hasEnoughReports).toEqual(false);
         t.mock.timers.tick(500);
-        expect(book.hasEnoughReports).toEqual(true);
+        expect(tracker.hasEnoughReports).toEqual(true);
     });
 });
