--- a/packages/fleet/src/loadscorers.ts
+++ b/packages/fleet/src/loadscorers.ts
@@ -127,7 +127,7 @@
     /** Models of an engine each of which frees enough memory when unloaded. */
     private evictionCandidates(engine: EngineSnapshot, replacement: ModelNeed): ModelNeed[] {
         return [...engine.models]
-            .filter(([, held]) => held.isReady && !held.isLeaving)
+            .filter(([, held]) => held.isReady && !held.isUnloading)
             .flatMap(([name]) => this.state.modelNeed(name) ?? [])
             .filter(({ model }) => this.state.fits(engine, replacement.model.sizeMb - model.sizeMb));
     }
--- a/packages/fleet/src/placements.ts
+++ b/packages/fleet/src/placements.ts
@@ -300,13 +300,13 @@
         for (const held of upstream.models) {
             models.set(held.name, {
                 isReady: held.readyInMs === 0,
-                isLeaving: held.leaving,
+                isUnloading: held.leaving,
                 adapters: adapterStages(held, dispatcher),
             });
         }
         for (const name of dispatcher?.loadingModels ?? []) {
             if (!models.has(name)) {
-                models.set(name, { isReady: false, isLeaving: false, adapters: new Map() });
+                models.set(name, { isReady: false, isUnloading: false, adapters: new Map() });
             }
         }
         const reservation = this.reservations.get(upstream.id);
--- a/packages/fleet/src/plans.ts
+++ b/packages/fleet/src/plans.ts
@@ -29,7 +29,7 @@
 export interface ModelSnapshot {
     readonly isReady: boolean;
     /** Whether it is being unloaded. */
-    readonly isLeaving: boolean;
+    readonly isUnloading: boolean;
     /** Adapters by name; each occupies an adapter slot, whatever its stage. */
     readonly adapters: ReadonlyMap<string, AdapterStage>;
 }
--- a/packages/fleet/src/planstates.ts
+++ b/packages/fleet/src/planstates.ts
@@ -96,7 +96,7 @@
 
     private indexEngine(engine: EngineSnapshot): void {
         for (const [model, held] of engine.models) {
-            if (!held.isLeaving) {
+            if (!held.isUnloading) {
                 this.holdersByModel.set(model, [...this.holders(model), engine]);
             }
         }
--- a/packages/fleet/src/registries.ts
+++ b/packages/fleet/src/registries.ts
@@ -475,8 +475,8 @@
         return true;
     }
     const drains = before.state !== now.state && now.state === UpstreamState.DRAINING;
-    const wasLeaving = (name: string) => before.models.some(model => model.name === name && model.leaving);
-    return drains || now.models.some(model => model.leaving && !wasLeaving(model.name));
+    const wasUnloading = (name: string) => before.models.some(model => model.name === name && model.leaving);
+    return drains || now.models.some(model => model.leaving && !wasUnloading(model.name));
 }
 
 function logFields(upstream: Upstream) {
--- a/packages/fleet/src/tests/fixtures.ts
+++ b/packages/fleet/src/tests/fixtures.ts
@@ -73,7 +73,7 @@
     models: readonly string[],
     values: Partial<EngineSnapshot> = {},
 ): EngineSnapshot {
-    const held: ModelSnapshot = { isReady: true, isLeaving: false, adapters: new Map() };
+    const held: ModelSnapshot = { isReady: true, isUnloading: false, adapters: new Map() };
     return {
         id,
         service: "s",
--- a/packages/fleet/src/tests/plans.test.ts
+++ b/packages/fleet/src/tests/plans.test.ts
@@ -177,7 +177,7 @@
         const holding = (adapters: readonly string[]): Partial<EngineSnapshot> => ({
             models: new Map([["m1", {
                 isReady: true,
-                isLeaving: false,
+                isUnloading: false,
                 adapters: new Map(adapters.map(name => [name, "held"])),
             }]]),
         });
@@ -225,7 +225,11 @@
 
     it("never plans a load that exceeds an engine's memory or adapter slots (seed 20261202)", () => {
         const names = spec.models.map(model => model.name);
-        const held = fc.record({ isReady: fc.boolean(), isLeaving: fc.boolean(), adapters: fc.subarray(["a1", "a2"]) });
+        const held = fc.record({
+            isReady: fc.boolean(),
+            isUnloading: fc.boolean(),
+            adapters: fc.subarray(["a1", "a2"]),
+        });
         const anyEngine = fc.record({
             models: fc.dictionary(fc.constantFrom(...names), held, { maxKeys: 3 }),
             coming: fc.option(fc.constantFrom(...names), { nil: undefined }),
