--- a/packages/fleet/src/tests/plans.test.ts
+++ b/packages/fleet/src/tests/plans.test.ts
@@ -239,7 +239,7 @@
             model: fc.constantFrom(...names),
             adapter: fc.constantFrom("", "a1", "a2", "a3"),
             work: fc.integer({ min: 0, max: 40_000 }),
-            lacking: fc.integer({ min: 0, max: 3 }),
+            unserved: fc.integer({ min: 0, max: 3 }),
             idleMs: fc.integer({ min: 0, max: 30_000 }),
         });
         fc.assert(
