--- a/packages/fleet/src/loadscorers.ts
+++ b/packages/fleet/src/loadscorers.ts
@@ -10,7 +10,7 @@
 const planningHorizonMs = 15_000;
 /** Share of the total request rate that is spread over all models, for those without recent demand. */
 const baselineDemandShare = 0.1;
-/** Lower bound of the total request rate for each engine, which the baseline is derived from. */
+/** Minimum request rate per engine from which the baseline is derived. */
 const minRatePerEngine = 1;
 /** Share of an engine's prompt throughput that a replica is planned for; above it, queueing dominates latency. */
 const targetUtilization = 0.7;
@@ -23,7 +23,7 @@
  * later demand, and demand may have changed by the time that a slow load completes.
  */
 const replacementCostPerSecond = 1.2;
-/** The same for a model with unserved requests and no replica, so that slow loads stay possible for it. */
+/** The same for a model with unserved requests and no replica; lower, so that slow loads stay possible. */
 const unservedReplacementCostPerSecond = 0.3;
 /** Fixed cost of an unload, in requests: the orders themselves, and the loss of cached prompts. */
 const fixedUnloadCost = 0.1;
@@ -47,7 +47,7 @@
 }
 
 export class LoadScorer {
-    /** Requests a second that are assumed for each model in addition to observed demand. */
+    /** Requests per second that are assumed for each model in addition to observed demand. */
     private readonly baselineRate: number;
     /** Replicas of each model that idle models may not replace. */
     private readonly protectedReplicas: number;
@@ -127,7 +127,7 @@
     /** Models of an engine each of which frees enough memory when unloaded. */
     private evictionCandidates(engine: EngineSnapshot, replacement: ModelNeed): ModelNeed[] {
         return [...engine.models]
-            .filter(([, held]) => held.isReady && !held.isLeaving)
+            .filter(([, held]) => held.isReady && !held.isUnloading)
             .flatMap(([name]) => this.state.modelNeed(name) ?? [])
             .filter(({ model }) => this.state.fits(engine, replacement.model.sizeMb - model.sizeMb));
     }
@@ -185,7 +185,7 @@
         return fixedLoadCost + (rate + this.adapterMissRate(engine)) * loadMs / 1000;
     }
 
-    /** Requests a second for adapters that are not loaded, of models with no other ready replica. */
+    /** Requests per second for adapters that are not loaded, of models with no other ready replica. */
     private adapterMissRate(engine: EngineSnapshot): number {
         let rate = 0;
         for (const [name, held] of engine.models) {
@@ -214,10 +214,10 @@
 
     /** Share of an engine's capacity that each replica of a model uses; 0 while the capacity is unknown. */
     private utilization(need: ModelNeed | undefined, extraReplicas: number): number {
-        const capacity = need === undefined ? undefined : this.state.input.capacityOf(need.model.name);
-        return need === undefined || capacity === undefined
+        const throughput = need === undefined ? undefined : this.state.input.throughputOf(need.model.name);
+        return need === undefined || throughput === undefined
             ? 0
-            : need.work / Math.max(1, this.state.expectedReplicas(need.model.name) + extraReplicas) / capacity;
+            : need.work / Math.max(1, this.state.expectedReplicas(need.model.name) + extraReplicas) / throughput;
     }
 
     /** Share of a model's requests that exceed the capacity of the given number of replicas. */
@@ -225,13 +225,13 @@
         if (replicas <= 0) {
             return 1;
         }
-        const capacity = this.state.input.capacityOf(need.model.name);
-        return capacity === undefined || need.work === 0
+        const throughput = this.state.input.throughputOf(need.model.name);
+        return throughput === undefined || need.work === 0
             ? 0
-            : Math.max(0, 1 - replicas * capacity * targetUtilization / need.work);
+            : Math.max(0, 1 - replicas * throughput * targetUtilization / need.work);
     }
 
-    /** Requests a second, including the baseline. */
+    /** Requests per second, including the baseline. */
     private expectedRate(need: ModelNeed): number {
         return need.rate + this.baselineRate;
     }
--- a/packages/fleet/src/orderdispatchers.ts
+++ b/packages/fleet/src/orderdispatchers.ts
@@ -8,7 +8,7 @@
 
 /** Delay before an unanswered order is sent again, in milliseconds. */
 const retryDelayMs = 300;
-/** A report describes a state up to this old; it is only read this long after the last reply, in milliseconds. */
+/** Maximum age of the state in a report, in milliseconds. Reports are read only this long after the last reply. */
 const maxReportAgeMs = 400;
 /** Attempts to send an order before the engine's state is read again. */
 const maxAttempts = 8;
@@ -58,14 +58,14 @@
     /** Whether an order is being executed or a report read. */
     private occupied = false;
     private hasReadReport = false;
-    /** Steady time of the last reply to an order. */
+    /** Monotonic time of the last reply to an order. */
     private lastReplyAt = Number.NEGATIVE_INFINITY;
     private stopped = false;
 
     public constructor(
         private readonly id: string,
         private readonly registry: Registry,
-        private readonly calls: EngineClient,
+        private readonly engineClient: EngineClient,
         private readonly owner: OrderDispatcherOwner,
         private readonly log: EventLog,
     ) {}
@@ -142,7 +142,7 @@
 
     private async sendUntilAnswered(order: EngineOrder, expectedMs: number): Promise<void> {
         if (order.kind === "unload" && order.adapter === "") {
-            this.markLeaving(order.model);
+            this.markUnloading(order.model);
         }
         for (let attempt = 0; attempt < maxAttempts; attempt++) {
             switch (await this.send(order)) {
@@ -179,8 +179,9 @@
 
     /**
      * Adjusts the expected count after an order. The engine does not count the unload of an adapter that is absent or
-     * already being unloaded, but replies alike, so only unloads of adapters that this dispatcher has loaded are sure
-     * to count. The count must never be too high: a late copy could then be accepted in a state it was not planned for.
+     * already being unloaded, but sends the same reply, so only unloads of adapters that this dispatcher has loaded
+     * certainly count. If the expected count were too high, the engine could accept a late copy of an order in a state
+     * that it was not planned for.
      */
     private updateExpected(order: EngineOrder): void {
         const isCounted = !isAdapterUnload(order) || this.loaded.delete(qualifiedAdapterName(order));
@@ -191,7 +192,7 @@
     /** Waits while the engine has asked this host to back off. */
     private async waitForBackoff(): Promise<void> {
         for (let upstream = this.upstream; upstream !== undefined; upstream = this.upstream) {
-            const ms = this.calls.backoffMs(upstream);
+            const ms = this.engineClient.backoffMs(upstream);
             if (ms <= 0) {
                 return;
             }
@@ -208,7 +209,7 @@
         }
         const sentAt = steadyNow();
         this.owner.onOrderSent();
-        const reply = await this.calls.sendOrder(upstream, order, this.expected, fence);
+        const reply = await this.engineClient.sendOrder(upstream, order, this.expected, fence);
         this.lastReplyAt = steadyNow();
         this.log.info("order.sent", {
             upstream: this.id,
@@ -345,7 +346,7 @@
         return this.upstream?.models.some(({ name }) => name === model) === true;
     }
 
-    private markLeaving(model: string): void {
+    private markUnloading(model: string): void {
         this.updateModels(models => models.filter(held => held.name === model).forEach(held => held.leaving = true));
     }
 
@@ -377,7 +378,7 @@
         // A report from before the last order took effect would overstate the free capacity.
         await sleep(Math.max(0, this.lastReplyAt + maxReportAgeMs - steadyNow()));
         await this.waitForBackoff();
-        const report = await this.calls.fetchReport(upstream);
+        const report = await this.engineClient.fetchReport(upstream);
         if (report === undefined) {
             return;
         }
--- a/packages/fleet/src/placements.ts
+++ b/packages/fleet/src/placements.ts
@@ -18,17 +18,17 @@
 
 /** Interval of plans while nothing changes, in milliseconds. */
 const planIntervalMs = 500;
-/** Least interval between log lines about unmet demand, in milliseconds. */
+/** Minimum interval between log lines about unmet demand, in milliseconds. */
 const unmetLogIntervalMs = 500;
-/** Least pause between two plans, in milliseconds. */
+/** Minimum pause between two plans, in milliseconds. */
 const minPlanPauseMs = 10;
-/** Share of the leader's time that planning may take: the pause between plans grows with their duration. */
+/** Maximum share of the leader's time spent on planning; the pause between plans grows with their duration. */
 const maxPlanTimeShare = 0.05;
-/** Upper bound of that pause, in milliseconds. */
+/** Maximum pause between two plans, in milliseconds. */
 const maxPlanPauseMs = 100;
-/** Duration of an unload without running requests, in milliseconds, after which its completion is polled. */
+/** Expected duration of an unload, in milliseconds; its completion is polled afterwards. */
 const expectedUnloadMs = 5;
-/** Least interval between two reads of an engine's state, in milliseconds. */
+/** Minimum interval between two reads of an engine's state, in milliseconds. */
 const minSyncIntervalMs = 1000;
 /** How long an earlier leader's loads count against the store's rate limit, in milliseconds. */
 const storeTakeoverMs = 5000;
@@ -43,7 +43,7 @@
 export interface PlacementContext {
     /** How often upstreams announce themselves, in milliseconds. */
     readonly announceMs: number;
-    /** Fencing token for orders; undefined while this host may not give any. */
+    /** Fencing token for orders; undefined while this host may not send any. */
     fence(): Fence | undefined;
     /** Called when an order is sent. */
     orderSent(): void;
@@ -52,8 +52,9 @@
 
 /** Plans and sends orders for the duration of one leadership. */
 export class PlacementController implements OrderDispatcherOwner {
+    /** Order dispatchers by upstream id. */
     private readonly lines = new Map<string, OrderDispatcher>();
-    /** Steady time of the last attempt to read each engine's state. */
+    /** Monotonic time of the last attempt to read each engine's state. */
     private readonly lastSyncTimes = new Map<string, number>();
     /** Models that memory is being freed for, by engine. */
     private readonly reservations = new Map<string, { readonly model: string; readonly until: number; }>();
@@ -69,7 +70,7 @@
         private readonly control: PlacementContext,
         private readonly registry: Registry,
         private readonly demand: DemandTracker,
-        private readonly calls: EngineClient,
+        private readonly engineClient: EngineClient,
         private readonly log: EventLog,
     ) {}
 
@@ -103,11 +104,11 @@
 
     /** Rereads an engine's state after it told an entry that it does not hold an expected model or adapter. */
     public resyncAfterMismatch(mismatch: Mismatch): void {
-        const line = this.lines.get(mismatch.upstream);
+        const dispatcher = this.lines.get(mismatch.upstream);
         const name = mismatch.adapter === "" ? mismatch.model : `${mismatch.model}/${mismatch.adapter}`;
-        if (line !== undefined && this.claimSync(mismatch.upstream)) {
+        if (dispatcher !== undefined && this.claimSync(mismatch.upstream)) {
             this.log.warn("engine.mismatch", { upstream: mismatch.upstream, item: name });
-            void line.refresh();
+            void dispatcher.refresh();
         }
     }
 
@@ -129,7 +130,7 @@
                 this.log.warn("plan.failed", { error: messageOf(err) });
             }
         }
-        this.lines.forEach(line => line.stop());
+        this.lines.forEach(dispatcher => dispatcher.stop());
     }
 
     private planServices(): void {
@@ -158,7 +159,7 @@
                 spec.storeLoadsPerSecond,
                 this.maxInheritedStarts(service, spec),
             ),
-            capacityOf: model => this.demand.throughputOf(service, model),
+            throughputOf: model => this.demand.throughputOf(service, model),
         });
         this.planDurationMs += steadyNow() - startedAt;
         this.logUnmetNeeds(plan.unmet);
@@ -213,8 +214,8 @@
     }
 
     private sendOrder(service: string, planned: PlannedOrder, spec: EngineSpec): void {
-        const line = this.lines.get(planned.engine);
-        if (line === undefined || !line.isReady) {
+        const dispatcher = this.lines.get(planned.engine);
+        if (dispatcher === undefined || !dispatcher.isReady) {
             return;
         }
         this.log.info("order.planned", {
@@ -222,18 +223,21 @@
             order: describeOrder(planned.order),
             fromStore: planned.fromStore,
             reason: planned.reason,
-            capacity: Math.round(this.demand.throughputOf(service, planned.makesRoomFor ?? planned.order.model) ?? 0),
+            capacity: Math.round(this.demand.throughputOf(service, planned.freesMemoryFor ?? planned.order.model) ?? 0),
         });
         if (planned.fromStore) {
             this.storeLimiter.recordStart();
         }
-        if (planned.makesRoomFor !== undefined) {
-            this.reservations.set(planned.engine, { model: planned.makesRoomFor, until: steadyNow() + reservationMs });
+        if (planned.freesMemoryFor !== undefined) {
+            this.reservations.set(planned.engine, {
+                model: planned.freesMemoryFor,
+                until: steadyNow() + reservationMs,
+            });
         }
         else if (planned.order.kind === "load" && planned.order.adapter === "") {
             this.reservations.delete(planned.engine);
         }
-        void line.execute(planned.order, this.expectedOrderMs(planned, spec));
+        void dispatcher.execute(planned.order, this.expectedOrderMs(planned, spec));
     }
 
     private expectedOrderMs(planned: PlannedOrder, spec: EngineSpec): number {
@@ -259,18 +263,18 @@
             if (!engineServices.has(upstream.service)) {
                 continue;
             }
-            let line = this.lines.get(upstream.id);
-            if (line === undefined) {
-                line = new OrderDispatcher(upstream.id, this.registry, this.calls, this, this.log);
-                this.lines.set(upstream.id, line);
+            let dispatcher = this.lines.get(upstream.id);
+            if (dispatcher === undefined) {
+                dispatcher = new OrderDispatcher(upstream.id, this.registry, this.engineClient, this, this.log);
+                this.lines.set(upstream.id, dispatcher);
             }
-            if (!line.isReady && upstream.state === UpstreamState.READY && this.claimSync(upstream.id)) {
-                void line.refresh();
+            if (!dispatcher.isReady && upstream.state === UpstreamState.READY && this.claimSync(upstream.id)) {
+                void dispatcher.refresh();
             }
         }
-        for (const [id, line] of this.lines) {
+        for (const [id, dispatcher] of this.lines) {
             if (this.registry.get(id) === undefined) {
-                line.stop();
+                dispatcher.stop();
                 this.lines.delete(id);
                 this.lastSyncTimes.delete(id);
                 this.reservations.delete(id);
@@ -291,18 +295,18 @@
 
     private snapshotEngine(known: RegisteredUpstream): EngineSnapshot {
         const { upstream, inMemory, onDisk } = known;
-        const line = this.lines.get(upstream.id);
+        const dispatcher = this.lines.get(upstream.id);
         const models = new Map<string, ModelSnapshot>();
         for (const held of upstream.models) {
             models.set(held.name, {
                 isReady: held.readyInMs === 0,
-                isLeaving: held.leaving,
-                adapters: adapterStages(held, line),
+                isUnloading: held.leaving,
+                adapters: adapterStages(held, dispatcher),
             });
         }
-        for (const name of line?.loadingModels ?? []) {
+        for (const name of dispatcher?.loadingModels ?? []) {
             if (!models.has(name)) {
-                models.set(name, { isReady: false, isLeaving: false, adapters: new Map() });
+                models.set(name, { isReady: false, isUnloading: false, adapters: new Map() });
             }
         }
         const reservation = this.reservations.get(upstream.id);
@@ -313,8 +317,8 @@
             dataCentre: upstream.dataCentre,
             models,
             // Adapter loads are polled by orders, which an engine rejects while it loads a model.
-            acceptsModelOrders: line?.isReady === true && line.loadingAdapters.size === 0,
-            freeAdapterLoads: line?.availableAdapterLoads ?? 0,
+            acceptsModelOrders: dispatcher?.isReady === true && dispatcher.loadingAdapters.size === 0,
+            freeAdapterLoads: dispatcher?.availableAdapterLoads ?? 0,
             inMemory,
             onDisk,
         };
@@ -322,7 +326,7 @@
 }
 
 /** All adapters of a model that occupy slots on an engine: those that are held, and those being loaded or unloaded. */
-function adapterStages(model: HeldModel, line: OrderDispatcher | undefined): Map<string, AdapterStage> {
+function adapterStages(model: HeldModel, dispatcher: OrderDispatcher | undefined): Map<string, AdapterStage> {
     const stages = new Map(model.adapters.map((adapter): [string, AdapterStage] => [adapter, "held"]));
     const add = (names: Iterable<string>, stage: AdapterStage) => {
         const prefix = `${model.name}/`;
@@ -330,7 +334,7 @@
             stages.set(name.slice(prefix.length), stage)
         );
     };
-    add(line?.loadingAdapters ?? [], "coming");
-    add(line?.unloadingAdapters ?? [], "leaving");
+    add(dispatcher?.loadingAdapters ?? [], "coming");
+    add(dispatcher?.unloadingAdapters ?? [], "leaving");
     return stages;
 }
--- a/packages/fleet/src/tests/fixtures.ts
+++ b/packages/fleet/src/tests/fixtures.ts
@@ -62,7 +62,7 @@
         rate: 1,
         work: 1000,
         running: 0,
-        lacking: 0,
+        unserved: 0,
         idleMs: 0,
         ...values,
     };
@@ -73,7 +73,7 @@
     models: readonly string[],
     values: Partial<EngineSnapshot> = {},
 ): EngineSnapshot {
-    const held: ModelSnapshot = { isReady: true, isLeaving: false, adapters: new Map() };
+    const held: ModelSnapshot = { isReady: true, isUnloading: false, adapters: new Map() };
     return {
         id,
         service: "s",
--- a/packages/quarantine/src/quarantinestates.ts
+++ b/packages/quarantine/src/quarantinestates.ts
@@ -6,7 +6,7 @@
 import { CrashAttribution, type CrashSuspect, StoredCrash } from "./crashattributions.js";
 import { type ListedRequest, QuarantineChangeLog, type QuarantineChanges } from "./quarantinechanges.js";
 
-/** How long a crash counts against the requests that were running, in milliseconds; callers retry within minutes. */
+/** How long a crash counts against the requests that were running, in milliseconds; clients retry within minutes. */
 const crashRetentionMs = 600_000;
 /**
  * The first bar lasts this long, in milliseconds, and each further one twice as long. After a bar the request is on
@@ -18,7 +18,7 @@
 const probationMs = 3_600_000;
 /** Maximum number of requests that are barred or on probation; the oldest are evicted. */
 const maxTrackedRequests = 2000;
-/** Entries are told of a suspect from this many occasions on, since the next crash or success decides on it. */
+/** Suspects are listed for entries from this many occasions on, since the next crash may bar them. */
 const occasionsToList = 2;
 
 const BarredRequest = Type.Object({
