--- a/packages/bench/src/capacity.ts
+++ b/packages/bench/src/capacity.ts
@@ -1,4 +1,4 @@
-/** `npm run measure -- --capacity`: the slopes that docs/CAPACITY.md works with, a JSON line a point. */
+/** `npm run measure -- --capacity`: measures how costs scale, for docs/CAPACITY.md. Prints one JSON line per data point. */
 import { create, toBinary } from "@bufbuild/protobuf";
 import {
     ConsensusService,
@@ -16,28 +16,28 @@
 import { Timeline } from "@winchpath/timeline";
 import { Registrar, RegistrarService, type ReportRequest, ReportRequestSchema } from "@winchpath/upstream";
 import { readFile } from "node:fs/promises";
-import { processorMs } from "./paths.js";
+import { cpuTimeMs } from "./paths.js";
 
 const key = "a key for tests on loopback only";
 const loopback = "127.0.0.1";
 const gibibyte = 2n ** 30n;
 
-type Tell = (figure: { name: string; value: number; unit: string; [label: string]: unknown; }) => void;
+type EmitMeasurement = (measurement: { name: string; value: number; unit: string; [label: string]: unknown; }) => void;
 
-export async function measureCapacity(tell: Tell): Promise<void> {
-    measureState(tell);
-    measurePlans(tell);
-    measureReportSizes(tell);
+export async function measureCapacity(emit: EmitMeasurement): Promise<void> {
+    measureSnapshotSizes(emit);
+    measurePlanTimes(emit);
+    measureReportSizes(emit);
     for (const agents of [0, 100, 200, 400, 800]) {
-        await measureReports(agents, tell);
+        await measureReports(agents, emit);
     }
     for (const learners of [0, 30, 60, 120]) {
-        await measureLearners(learners, tell);
+        await measureLearners(learners, emit);
     }
 }
 
-/** Bytes of snapshot, and time to make one, for each kind of state. */
-function measureState(tell: Tell): void {
+/** Measures snapshot size and serialization time for each kind of replicated state. */
+function measureSnapshotSizes(emit: EmitMeasurement): void {
     for (const count of [10_000, 50_000]) {
         const claims = new Claims();
         for (let number = 0; number < count; number++) {
@@ -57,7 +57,7 @@
                 ...place,
             }, { time: number });
         }
-        tellSnapshot(tell, "claims", count, () => claims.snapshot());
+        measureSnapshot(emit, "claims", count, () => claims.snapshot());
     }
     for (const count of [1000, 5000]) {
         const declarations = new Declarations();
@@ -66,27 +66,27 @@
             const items = [{ op: "put" as const, kind: "Model" as const, name: `m${number}`, baseVersion: 0, spec }];
             declarations.apply({ changeId: `c${number}`, operator: "awa", items }, { index: number + 1 });
         }
-        tellSnapshot(tell, "declarations", count, () => declarations.snapshot());
+        measureSnapshot(emit, "declarations", count, () => declarations.snapshot());
     }
     for (const upstreams of [1000, 5000]) {
-        tellSnapshot(tell, "holdings", upstreams * 8, () => ledgerOf(upstreams, 8, 50).snapshot());
+        measureSnapshot(emit, "holdings", upstreams * 8, () => buildLedger(upstreams, 8, 50).snapshot());
     }
 }
 
-function tellSnapshot(tell: Tell, kind: string, count: number, snapshot: () => unknown): void {
+function measureSnapshot(emit: EmitMeasurement, kind: string, count: number, snapshot: () => unknown): void {
     const startedAt = performance.now();
     const bytes = Buffer.byteLength(JSON.stringify(snapshot()));
     const labels = { kind, count, snapshotMs: Math.round(performance.now() - startedAt) };
-    tell({ name: "state_bytes", value: bytes / count, unit: "bytes/item", ...labels });
+    emit({ name: "state_bytes", value: bytes / count, unit: "bytes/item", ...labels });
 }
 
-/** Time of one plan when everything is placed already, as it is in nearly every round. */
-function measurePlans(tell: Tell): void {
+/** Measures one planning round in the steady state, with every model already placed. */
+function measurePlanTimes(emit: EmitMeasurement): void {
     for (const [models, upstreams] of [[26, 8], [39, 13], [210, 100], [210, 500], [210, 2000]]) {
-        const ledger = ledgerOf(upstreams, 4, models);
-        const live = liveOf(upstreams, 4, models);
+        const ledger = buildLedger(upstreams, 4, models);
+        const live = buildLiveUpstreams(upstreams, 4, models);
         const view = {
-            catalogue: new Catalogue(1, modelResources(models)),
+            catalogue: new Catalogue(1, buildModelResources(models)),
             accelerators: acceleratorViews(ledger, live, new Set(), () => true),
             demand: new Map(),
             moveCost: 0.5,
@@ -95,76 +95,76 @@
         placer.plan(view);
         const startedAt = performance.now();
         placer.plan(view);
-        tell({ name: "plan_time", value: performance.now() - startedAt, unit: "ms", models, upstreams });
+        emit({ name: "plan_time", value: performance.now() - startedAt, unit: "ms", models, upstreams });
     }
 }
 
-function measureReportSizes(tell: Tell): void {
+function measureReportSizes(emit: EmitMeasurement): void {
     for (const items of [0, 10, 40]) {
-        const bytes = toBinary(ReportRequestSchema, reportOf(0, items, 100, 1n)).length;
-        tell({ name: "report_bytes", value: bytes, unit: "bytes", items });
+        const bytes = toBinary(ReportRequestSchema, buildReport(0, items, 100, 1n)).length;
+        emit({ name: "report_bytes", value: bytes, unit: "bytes", items });
     }
 }
 
-/** What so many agents' reports cost one entry, each four times a second. */
-async function measureReports(agents: number, tell: Tell): Promise<void> {
+/** Measures the CPU time of one entry that receives four reports per second from each agent. */
+async function measureReports(agents: number, emit: EmitMeasurement): Promise<void> {
     const deployment = await Deployment.start({ dataCentres: ["a"], engines: [], services: [] });
     const [entry] = deployment.entries;
-    const stop = new AbortController();
+    const stopping = new AbortController();
     const timeline = new Timeline({ process: "m", host: "m", dataCentre: "d" });
     const clients = new RpcClients({ key, timeline });
     try {
-        const client = clients.client(RegistrarService, entry.peers);
+        const client = clients.client(RegistrarService, entry.peersUrl);
         let sent = 0;
         const sender = async (agent: number): Promise<void> => {
-            for (let sequence = 1n; !stop.signal.aborted; sequence++) {
-                // A plain service, so that the controller sends it no orders.
-                await client.report({ ...reportOf(agent, 8, 50, sequence), service: "some-service" });
+            for (let sequence = 1n; !stopping.signal.aborted; sequence++) {
+                // Reports a plain service, so that the controller sends no orders.
+                await client.report({ ...buildReport(agent, 8, 50, sequence), service: "some-service" });
                 sent += 1;
                 await new Promise(resolve => setTimeout(resolve, 250));
             }
         };
         const tasks = Array.from({ length: agents }, (_, agent) => sender(agent));
         await new Promise(resolve => setTimeout(resolve, 2000));
-        const [before, sentBefore] = [await processorMs(entry.process.pid), sent];
+        const [before, sentBefore] = [await cpuTimeMs(entry.process.pid), sent];
         const seconds = 6;
         await new Promise(resolve => setTimeout(resolve, seconds * 1000));
-        const used = await processorMs(entry.process.pid) - before;
+        const usedMs = await cpuTimeMs(entry.process.pid) - before;
         const labels = {
             agents,
             reportsPerSecond: (sent - sentBefore) / seconds,
             residentMiB: await residentMiB(entry.process.pid),
         };
-        tell({ name: "entry_core_share", value: used / seconds / 1000, unit: "cores", ...labels });
-        stop.abort();
+        emit({ name: "entry_core_share", value: usedMs / seconds / 1000, unit: "cores", ...labels });
+        stopping.abort();
         await Promise.all(tasks);
     }
     finally {
-        stop.abort();
+        stopping.abort();
         clients.close();
         await deployment.stop();
     }
 }
 
-/** What so many learners, in this process, cost the leader: idle, and at each change. */
-async function measureLearners(learners: number, tell: Tell): Promise<void> {
+/** Measures the leader's CPU time with learners in this process, idle and under changes. */
+async function measureLearners(learners: number, emit: EmitMeasurement): Promise<void> {
     const deployment = await Deployment.start({ dataCentres: ["a", "b", "c"], engines: [], services: [] });
-    const stops: (() => Promise<void>)[] = [];
+    const cleanups: (() => Promise<void>)[] = [];
     try {
-        const leader = await deployment.leader();
+        const leader = await deployment.findLeader();
         for (let number = 0; number < learners; number++) {
-            stops.push(await startLearner(number, deployment.entries.map(entry => entry.peers)));
+            cleanups.push(await startLearner(number, deployment.entries.map(entry => entry.peersUrl)));
         }
         const seconds = 5;
-        const share = async (work: () => Promise<unknown>): Promise<number> => {
-            const before = await processorMs(leader.process.pid);
+        const measureCoreShare = async (work: () => Promise<unknown>): Promise<number> => {
+            const before = await cpuTimeMs(leader.process.pid);
             await work();
-            return (await processorMs(leader.process.pid) - before) / seconds / 1000;
+            return (await cpuTimeMs(leader.process.pid) - before) / seconds / 1000;
         };
-        const idle = await share(() => new Promise(resolve => setTimeout(resolve, seconds * 1000)));
-        tell({ name: "leader_core_share", value: idle, unit: "cores", learners, changesPerSecond: 0 });
+        const idle = await measureCoreShare(() => new Promise(resolve => setTimeout(resolve, seconds * 1000)));
+        emit({ name: "leader_core_share", value: idle, unit: "cores", learners, changesPerSecond: 0 });
         let changes = 0;
-        const busy = await share(async () => {
+        const busy = await measureCoreShare(async () => {
             const end = Date.now() + seconds * 1000;
             while (Date.now() < end) {
                 changes += 1;
@@ -184,15 +184,15 @@
             changesPerSecond: changes / seconds,
             residentMiB: await residentMiB(leader.process.pid),
         };
-        tell({ name: "leader_core_share", value: busy, unit: "cores", ...labels });
+        emit({ name: "leader_core_share", value: busy, unit: "cores", ...labels });
     }
     finally {
-        await Promise.all(stops.map(stop => stop()));
+        await Promise.all(cleanups.map(stop => stop()));
         await deployment.stop();
     }
 }
 
-class NoMachine implements StateMachine {
+class NoopStateMachine implements StateMachine {
     public apply(): Uint8Array {
         return new Uint8Array();
     }
@@ -211,7 +211,7 @@
     const replica = await Replica.open({
         identity: { host: `l${number}`, url: `http://${loopback}:${port}` },
         store: new MemoryLogStore(),
-        machine: new NoMachine(),
+        machine: new NoopStateMachine(),
         peers: new RpcPeerConnector(clients),
         seeds,
         timeline,
@@ -229,7 +229,7 @@
     };
 }
 
-function modelResources(count: number): Resource[] {
+function buildModelResources(count: number): Resource[] {
     return Array.from({ length: count }, (_, index) => ({
         kind: "Model" as const,
         name: `m${index}`,
@@ -240,7 +240,7 @@
     }));
 }
 
-function ledgerOf(upstreams: number, items: number, models: number): Ledger {
+function buildLedger(upstreams: number, items: number, models: number): Ledger {
     const ledger = new Ledger();
     const names = Array.from({ length: upstreams }, (_, index) => `u${index}`);
     const accelerators = [{ name: "a0", bytes: Number(gibibyte) * 24, speed: 1 }];
@@ -254,7 +254,7 @@
             (_, item) => ({
                 upstream,
                 accelerator: "a0",
-                item: itemName(index, item, items, models),
+                item: modelItem(index, item, items, models),
                 bytes: Number(gibibyte),
             }),
         )
@@ -263,19 +263,19 @@
     return ledger;
 }
 
-function liveOf(upstreams: number, items: number, models: number) {
+function buildLiveUpstreams(upstreams: number, items: number, models: number) {
     const registrar = new Registrar(new Timeline({ process: "m", host: "m", dataCentre: "d" }, 10));
     for (let index = 0; index < upstreams; index++) {
-        registrar.take(reportOf(index, items, models, 1n));
+        registrar.take(buildReport(index, items, models, 1n));
     }
     return registrar.live();
 }
 
-function reportOf(agent: number, items: number, models: number, sequence: bigint): ReportRequest {
+function buildReport(agent: number, items: number, models: number, sequence: bigint): ReportRequest {
     return create(ReportRequestSchema, {
         upstream: `u${agent}`,
         incarnation: "0mx684f1u-APzpuS2JsAAA",
-        // Nobody listens there, and on loopback nothing leaves this machine.
+        // Nothing listens on this port.
         url: `http://${loopback}:9`,
         host: `worker-${agent}`,
         dataCentre: "d",
@@ -285,7 +285,7 @@
         stateKnown: true,
         residents: Array.from({ length: items }, (_, item) => ({
             accelerator: "a0",
-            item: itemName(agent, item, items, models),
+            item: modelItem(agent, item, items, models),
             bytes: gibibyte,
             ready: true,
         })),
@@ -296,7 +296,7 @@
     });
 }
 
-function itemName(upstream: number, item: number, items: number, models: number): string {
+function modelItem(upstream: number, item: number, items: number, models: number): string {
     return `m${(upstream * items + item) % models}@1`;
 }
 
--- a/packages/bench/src/decisions.ts
+++ b/packages/bench/src/decisions.ts
@@ -1,4 +1,4 @@
-/** Drives the decision code with a trace, on the paused clock, against engines in memory. */
+/** Simulates routing and placement: replays a trace against in-memory engines on a mocked clock. */
 import { create } from "@bufbuild/protobuf";
 import { sleep } from "@winchpath/core";
 import { Catalogue, type Resource } from "@winchpath/declarations";
@@ -14,30 +14,30 @@
 import { Timeline } from "@winchpath/timeline";
 import { Registrar, ReportRequestSchema } from "@winchpath/upstream";
 import { mock } from "node:test";
-import { MeasuredEngine } from "./engines.js";
+import { SimulatedEngine } from "./engines.js";
 import { type EntryPolicy, type Policy } from "./policies.js";
 import { type Fleet, type Trace, type TraceRequest } from "./traces.js";
 
-/** Targets of the letter: first token, and time between tokens. */
-const firstTokenMs = 670;
-const betweenTokensMs = 36;
-const requestMs = 30_000;
+/** Latency targets: time to first token, and time per output token. */
+const firstTokenTargetMs = 670;
+const interTokenTargetMs = 36;
+const requestTimeoutMs = 30_000;
 const tickMs = 5;
-const reportMs = 250;
-const demandMs = 1000;
-/** Long enough for everything, spares too, to be loaded. */
+const reportIntervalMs = 250;
+const demandIntervalMs = 1000;
+/** Covers the initial loads, including the delayed spare replicas. */
 const warmUpMs = 300_000;
 const warmUpTickMs = 50;
 const dataCentres = ["d0", "d1", "d2"];
-const rolledModels = 4;
+const updatedModels = 4;
 
-/** What came of a trace. */
-export interface DecisionFigures {
-    /** Share of the requests that were served within target. */
+/** Results of replaying one trace. */
+export interface DecisionMetrics {
+    /** Share of the requests that met both latency targets. */
     readonly attainment: number;
-    /** Requests served within target, a second and accelerator. */
-    readonly perAccelerator: number;
-    /** Loads and unloads after the first placement. */
+    /** Requests per second and accelerator that met both latency targets. */
+    readonly attainedPerAccelerator: number;
+    /** Loads and unloads after the warm-up. */
     readonly moves: number;
     readonly refused: number;
     readonly failed: number;
@@ -51,20 +51,20 @@
     readonly dataCentre: string;
 }
 
-/** Runs a trace; the clock of the process is mocked meanwhile. */
-export async function measureDecisions(fleet: Fleet, trace: Trace, policy: Policy): Promise<DecisionFigures> {
+/** Replays a trace under a policy. Mocks the timers of the process until it returns. */
+export async function measureDecisions(fleet: Fleet, trace: Trace, policy: Policy): Promise<DecisionMetrics> {
     mock.timers.enable({ apis: ["setTimeout", "Date"], now: 1_800_000_000_000 });
     try {
-        return await new World(fleet, trace, policy).run();
+        return await new Simulation(fleet, trace, policy).run();
     }
     finally {
         mock.timers.reset();
     }
 }
 
-class World {
+class Simulation {
     private readonly timeline = new Timeline({ process: "measure", host: "h", dataCentre: "d" }, 100);
-    private readonly engines: MeasuredEngine[];
+    private readonly engines: SimulatedEngine[];
     private readonly entries: Entry[];
     private readonly ledger = new Ledger();
     private readonly demand = new DemandBook();
@@ -73,23 +73,23 @@
     private catalogue: Catalogue;
     private version = 1;
     private logIndex = 0;
-    private within = 0;
+    private attained = 0;
     private refused = 0;
     private failed = 0;
 
     public constructor(private readonly fleet: Fleet, private readonly trace: Trace, private readonly policy: Policy) {
-        this.catalogue = this.makeCatalogue();
+        this.catalogue = this.createCatalogue();
         this.engines = Array.from({ length: fleet.workers }, (_, index) =>
-            new MeasuredEngine({
+            new SimulatedEngine({
                 name: `e${String(index).padStart(2, "0")}`,
                 dataCentre: dataCentres[index % dataCentres.length],
-                // Older and newer cards side by side.
+                // A mixed fleet: every other accelerator is larger and faster.
                 gibibytes: index % 2 === 0 ? 24 : 40,
                 speed: index % 2 === 0 ? 1 : 2,
             }));
         this.entries = dataCentres.map(dataCentre => {
             const registrar = new Registrar(this.timeline);
-            const agents = { connect: (url: string) => this.clientOf(url, dataCentre) };
+            const agents = { connect: (url: string) => this.createClient(url, dataCentre) };
             const table = new RoutingTable({
                 registrar,
                 catalogue: () => this.catalogue,
@@ -99,68 +99,68 @@
         });
     }
 
-    public async run(): Promise<DecisionFigures> {
-        const controller = this.newController();
+    public async run(): Promise<DecisionMetrics> {
+        const controller = this.createController();
         const { signal } = this.stopping;
         void controller.run(signal);
-        this.registrars().forEach(registrar => void registrar.run(signal));
-        void this.feedReports(controller, signal);
-        void this.feedDemand(signal);
-        await this.pass(warmUpMs, warmUpTickMs);
-        const before = this.moves();
-        const answers = await this.play();
-        await this.pass(requestMs + 1000);
-        await Promise.all(answers);
+        this.allRegistrars().forEach(registrar => void registrar.run(signal));
+        void this.sendReports(controller, signal);
+        void this.sendDemand(signal);
+        await this.advanceTime(warmUpMs, warmUpTickMs);
+        const movesBefore = this.countMoves();
+        const pendingRequests = await this.replayTrace();
+        await this.advanceTime(requestTimeoutMs + 1000);
+        await Promise.all(pendingRequests);
         this.stopping.abort();
-        await this.pass(1000);
+        await this.advanceTime(1000);
         const requests = this.trace.requests.length;
         return {
-            attainment: this.within / requests,
-            perAccelerator: this.within / (this.trace.durationMs / 1000) / this.fleet.workers,
-            moves: this.moves() - before,
+            attainment: this.attained / requests,
+            attainedPerAccelerator: this.attained / (this.trace.durationMs / 1000) / this.fleet.workers,
+            moves: this.countMoves() - movesBefore,
             refused: this.refused,
             failed: this.failed,
             requests,
         };
     }
 
-    private async play(): Promise<Promise<void>[]> {
-        const answers: Promise<void>[] = [];
+    private async replayTrace(): Promise<Promise<void>[]> {
+        const pendingRequests: Promise<void>[] = [];
         const requests = [...this.trace.requests];
         const events = [...this.trace.events];
         const startedAt = Date.now();
         for (let number = 0; Date.now() - startedAt < this.trace.durationMs;) {
             const now = Date.now() - startedAt;
             while (number < requests.length && requests[number].at <= now) {
-                answers.push(this.ask(requests[number], this.entries[number % this.entries.length]));
+                pendingRequests.push(this.sendRequest(requests[number], this.entries[number % this.entries.length]));
                 number += 1;
             }
             while (events.length > 0 && events[0].at <= now) {
-                this.happen(events.shift()!.kind);
+                this.applyEvent(events.shift()!.kind);
             }
-            await this.pass(tickMs);
+            await this.advanceTime(tickMs);
         }
-        return answers;
+        return pendingRequests;
     }
 
-    private async ask(request: TraceRequest, entry: Entry): Promise<void> {
+    private async sendRequest(request: TraceRequest, entry: Entry): Promise<void> {
         const startedAt = Date.now();
-        let firstAt = 0;
+        let firstByteAt = 0;
         try {
-            await entry.policy.handle(this.jobFor(request, entry), () => {
-                firstAt ||= Date.now();
+            await entry.policy.handle(this.createJob(request, entry), () => {
+                firstByteAt ||= Date.now();
             });
-            const perToken = (Date.now() - firstAt) / request.tokens;
-            this.within += firstAt - startedAt <= firstTokenMs && perToken <= betweenTokensMs ? 1 : 0;
+            const msPerToken = (Date.now() - firstByteAt) / request.tokens;
+            this.attained += firstByteAt - startedAt <= firstTokenTargetMs && msPerToken <= interTokenTargetMs ? 1 : 0;
         }
         catch (err) {
-            const told = (err as { outcome?: string; }).outcome === "not-run";
-            this.refused += told ? 1 : 0;
-            this.failed += told ? 0 : 1;
+            const wasRejected = (err as { outcome?: string; }).outcome === "not-run";
+            this.refused += wasRejected ? 1 : 0;
+            this.failed += wasRejected ? 0 : 1;
         }
     }
 
-    private jobFor(request: TraceRequest, entry: Entry): Job {
+    private createJob(request: TraceRequest, entry: Entry): Job {
         const prefix = `${request.model}/${request.prefix}`;
         return {
             requestId: "r",
@@ -175,8 +175,8 @@
             caller: "c",
             priority: 5,
             prefix,
-            deadline: Date.now() + requestMs,
-            startBy: Date.now() + firstTokenMs,
+            deadline: Date.now() + requestTimeoutMs,
+            startBy: Date.now() + firstTokenTargetMs,
             signal: this.stopping.signal,
             endsWithMark: () => false,
             bodyFor: model => Buffer.from(JSON.stringify({ model, tokens: request.tokens, prefix })),
@@ -186,33 +186,33 @@
         };
     }
 
-    private happen(kind: Trace["events"][number]["kind"]): void {
+    private applyEvent(kind: Trace["events"][number]["kind"]): void {
         const [worker] = this.engines;
-        const centre = this.engines.filter(({ shape }) => shape.dataCentre === dataCentres[1]);
+        const affectedEngines = this.engines.filter(({ spec }) => spec.dataCentre === dataCentres[1]);
         switch (kind) {
             case "lose-worker":
-                worker.lose();
+                worker.crash();
                 break;
             case "return-worker":
-                worker.comeBack();
+                worker.recover();
                 break;
             case "lose-data-centre":
-                centre.forEach(engine => engine.lose());
+                affectedEngines.forEach(engine => engine.crash());
                 break;
             case "return-data-centre":
-                centre.forEach(engine => engine.comeBack());
+                affectedEngines.forEach(engine => engine.recover());
                 break;
             case "roll-version":
                 this.version += 1;
-                this.catalogue = this.makeCatalogue();
+                this.catalogue = this.createCatalogue();
                 break;
         }
     }
 
-    private makeCatalogue(): Catalogue {
+    private createCatalogue(): Catalogue {
         const resources = this.trace.models.flatMap(({ name, gibibytes, adapters }, index): Resource[] => {
-            const rolled = index % Math.ceil(this.trace.models.length / rolledModels) === 0;
-            const version = String(rolled ? this.version : 1);
+            const isUpdated = index % Math.ceil(this.trace.models.length / updatedModels) === 0;
+            const version = String(isUpdated ? this.version : 1);
             const common = { version: 1, operator: "o", changeId: "c" };
             return [
                 { ...common, kind: "Model", name, spec: { version, memory: `${gibibytes} GiB`, maxReplicas: 6 } },
@@ -228,7 +228,7 @@
         return new Catalogue(this.version, resources.sort(byName));
     }
 
-    private newController(): PlacementController {
+    private createController(): PlacementController {
         return new PlacementController({
             log: {
                 leadingTerm: 1,
@@ -236,7 +236,7 @@
             },
             ledger: this.ledger,
             registrar: this.leaderRegistrar,
-            orders: { send: async (url, order) => this.engineAt(url).order(order) },
+            orders: { send: async (url, order) => this.findEngine(url).receiveOrder(order) },
             placer: this.policy.placer,
             demand: this.demand,
             catalogue: () => this.catalogue,
@@ -247,49 +247,49 @@
         });
     }
 
-    private async feedReports(controller: PlacementController, signal: AbortSignal): Promise<void> {
+    private async sendReports(controller: PlacementController, signal: AbortSignal): Promise<void> {
         while (!signal.aborted) {
-            for (const engine of this.engines.filter(({ alive }) => alive)) {
-                const report = engine.report();
-                this.registrars().forEach(registrar => registrar.take(create(ReportRequestSchema, report)));
+            for (const engine of this.engines.filter(({ isAlive }) => isAlive)) {
+                const report = engine.buildReport();
+                this.allRegistrars().forEach(registrar => registrar.take(create(ReportRequestSchema, report)));
             }
             this.entries.forEach(entry => entry.policy.upstreamsChanged());
             controller.wake.notify();
-            await sleep(reportMs);
+            await sleep(reportIntervalMs);
         }
     }
 
-    private async feedDemand(signal: AbortSignal): Promise<void> {
+    private async sendDemand(signal: AbortSignal): Promise<void> {
         while (!signal.aborted) {
-            await sleep(demandMs);
+            await sleep(demandIntervalMs);
             for (const { dataCentre, policy } of this.entries) {
                 const models = policy.readDemand().map(sample => create(ModelDemandSchema, sample));
                 this.demand.take(
-                    create(ReportDemandRequestSchema, { entry: dataCentre, intervalMs: demandMs, models }),
+                    create(ReportDemandRequestSchema, { entry: dataCentre, intervalMs: demandIntervalMs, models }),
                 );
             }
         }
     }
 
-    private registrars(): Registrar[] {
+    private allRegistrars(): Registrar[] {
         return [this.leaderRegistrar, ...this.entries.map(entry => entry.registrar)];
     }
 
-    private engineAt(url: string): MeasuredEngine {
+    private findEngine(url: string): SimulatedEngine {
         return this.engines.find(engine => engine.url === url)!;
     }
 
-    private clientOf(url: string, dataCentre: string) {
-        const engine = this.engineAt(url);
-        return engine.client(engine.shape.dataCentre === dataCentre ? 0 : this.fleet.distanceMs);
+    private createClient(url: string, dataCentre: string) {
+        const engine = this.findEngine(url);
+        return engine.client(engine.spec.dataCentre === dataCentre ? 0 : this.fleet.networkDelayMs);
     }
 
-    private moves(): number {
+    private countMoves(): number {
         return this.engines.reduce((sum, engine) => sum + engine.moves, 0);
     }
 
-    /** Lets time pass, and everything happen that is due by then. */
-    private async pass(ms: number, step = tickMs): Promise<void> {
+    /** Advances the mocked clock in steps, and runs pending I/O callbacks after each step. */
+    private async advanceTime(ms: number, step = tickMs): Promise<void> {
         for (let passed = 0; passed < ms; passed += step) {
             mock.timers.tick(step);
             await new Promise(resolve => setImmediate(resolve));
--- a/packages/bench/src/main.ts
+++ b/packages/bench/src/main.ts
@@ -1,15 +1,15 @@
-/** `npm run measure [-- --quick | -- --capacity]`: the figures of docs/MEASURES.md and docs/CAPACITY.md, a JSON line each. */
+/** `npm run measure [-- --quick | -- --capacity]`: prints the data of docs/MEASURES.md and docs/CAPACITY.md as JSON lines. */
 import { measureCapacity } from "./capacity.js";
-import { type DecisionFigures, measureDecisions } from "./decisions.js";
+import { type DecisionMetrics, measureDecisions } from "./decisions.js";
 import { measurePaths } from "./paths.js";
 import { NaivePolicy, WinchpathPolicy } from "./policies.js";
-import { type Fleet, fleets, makeTrace } from "./traces.js";
+import { type Fleet, fleets, generateTrace } from "./traces.js";
 
 const quick = process.argv.includes("--quick");
 const traceMs = quick ? 50_000 : 120_000;
 const seeds = quick ? [1] : [1, 2, 3];
 
-interface Figure {
+interface Measurement {
     readonly name: string;
     readonly value: number;
     readonly unit: string;
@@ -17,34 +17,41 @@
     readonly [label: string]: unknown;
 }
 
-function tell(figure: Figure): void {
-    process.stdout.write(`${JSON.stringify(figure)}\n`);
+function emit(measurement: Measurement): void {
+    process.stdout.write(`${JSON.stringify(measurement)}\n`);
 }
 
 if (process.argv.includes("--capacity")) {
-    await measureCapacity(tell);
+    await measureCapacity(emit);
 }
 else {
-    await measurePaths(quick, tell);
+    await measurePaths(quick, emit);
     for (const fleet of fleets) {
         for (const seed of seeds) {
-            await tellDecisions(fleet, seed);
+            await comparePolicies(fleet, seed);
         }
     }
 }
 
-/** The same trace by winchpath's decisions and by two naive ones. */
-async function tellDecisions(fleet: Fleet, seed: number): Promise<void> {
-    const trace = makeTrace(fleet, traceMs, seed);
-    const ours = await measureDecisions(fleet, trace, new WinchpathPolicy());
+/** Replays one trace under winchpath's policy and the naive baselines. */
+async function comparePolicies(fleet: Fleet, seed: number): Promise<void> {
+    const trace = generateTrace(fleet, traceMs, seed);
+    const winchpath = await measureDecisions(fleet, trace, new WinchpathPolicy());
     const naive = await measureDecisions(fleet, trace, new NaivePolicy(false));
-    const spread = quick ? undefined : await measureDecisions(fleet, trace, new NaivePolicy(true));
-    const labels = { deployment: fleet.name, seed, requests: ours.requests };
-    const compare = (name: string, unit: string, pick: (figures: DecisionFigures) => number) =>
-        tell({ name, value: pick(ours), unit, naive: pick(naive), naiveSpread: spread && pick(spread), ...labels });
-    compare("attainment_per_accelerator", "requests/s", figures => figures.perAccelerator);
-    compare("attainment", "share", figures => figures.attainment);
-    compare("moves", "orders", figures => figures.moves);
-    compare("refused", "requests", figures => figures.refused);
-    compare("failed", "requests", figures => figures.failed);
+    const naiveSpread = quick ? undefined : await measureDecisions(fleet, trace, new NaivePolicy(true));
+    const labels = { deployment: fleet.name, seed, requests: winchpath.requests };
+    const emitComparison = (name: string, unit: string, pick: (metrics: DecisionMetrics) => number) =>
+        emit({
+            name,
+            value: pick(winchpath),
+            unit,
+            naive: pick(naive),
+            naiveSpread: naiveSpread && pick(naiveSpread),
+            ...labels,
+        });
+    emitComparison("attainment_per_accelerator", "requests/s", metrics => metrics.attainedPerAccelerator);
+    emitComparison("attainment", "share", metrics => metrics.attainment);
+    emitComparison("moves", "orders", metrics => metrics.moves);
+    emitComparison("refused", "requests", metrics => metrics.refused);
+    emitComparison("failed", "requests", metrics => metrics.failed);
 }
--- a/packages/bench/src/policies.ts
+++ b/packages/bench/src/policies.ts
@@ -1,4 +1,4 @@
-/** The two ways of deciding that are compared: winchpath's, and a naive one. */
+/** The placement and routing policies under comparison: winchpath's, and a naive baseline. */
 import { Metrics, silentLog, sleep } from "@winchpath/core";
 import { FirstFitPlacer, IncrementalPlacer, type Placer } from "@winchpath/placement";
 import { CrashBook } from "@winchpath/quarantine";
@@ -7,12 +7,12 @@
 import { Timeline } from "@winchpath/timeline";
 import { type Registrar } from "@winchpath/upstream";
 
-/** What one entry does with requests. */
+/** Request handling of one entry. */
 export interface EntryPolicy {
-    /** Hands the answer on; throws where there is none. `onFirst` is called at the first byte. */
-    handle(job: Job, onFirst: () => void): Promise<void>;
+    /** Consumes the response; throws if the request fails. Calls `onFirstByte` when the response starts. */
+    handle(job: Job, onFirstByte: () => void): Promise<void>;
     upstreamsChanged(): void;
-    /** Demand since the last call, by model. */
+    /** Returns the demand per model since the last call. */
     readDemand(): { name: string; arrivals: number; running: number; waiting: number; refused: number; }[];
 }
 
@@ -22,11 +22,11 @@
     newEntry(name: string, agents: AgentConnector, registrar: Registrar): EntryPolicy;
 }
 
-const sparePatienceMs = 60_000;
+const spareRetentionMs = 60_000;
 
 export class WinchpathPolicy implements Policy {
     public readonly name = "winchpath";
-    public readonly placer = new IncrementalPlacer(sparePatienceMs);
+    public readonly placer = new IncrementalPlacer(spareRetentionMs);
 
     public newEntry(name: string, agents: AgentConnector, registrar: Registrar): EntryPolicy {
         const claims = new Claims();
@@ -63,14 +63,14 @@
     }
 }
 
-const naiveRetryMs = 100;
+const naiveRetryDelayMs = 100;
 
-/** First fit, round robin, no limits: a failed request goes to the next replica until its time is over. */
+/** First-fit placement and round-robin routing without admission control; retries until the deadline. */
 export class NaivePolicy implements Policy {
     public readonly name: string;
     public readonly placer: Placer;
 
-    /** With `spread` the placer uses the emptiest accelerators first: the fairer of the two to compare with. */
+    /** With `spread`, the placer prefers the emptiest accelerator, which makes the fairer comparison. */
     public constructor(spread: boolean) {
         this.name = spread ? "naive-spread" : "naive";
         this.placer = new FirstFitPlacer(spread);
@@ -100,16 +100,16 @@
         return {
             handle: async (job, onFirst) => {
                 count(job.demandOf, 1);
-                const late = new AbortController();
-                const timer = setTimeout(() => late.abort(), job.deadline - Date.now());
+                const timeout = new AbortController();
+                const timer = setTimeout(() => timeout.abort(), job.deadline - Date.now());
                 try {
                     while (Date.now() < job.deadline) {
-                        if (await attempt(job, late.signal, onFirst).catch(() => false)) {
+                        if (await attempt(job, timeout.signal, onFirst).catch(() => false)) {
                             return;
                         }
-                        await sleep(naiveRetryMs);
+                        await sleep(naiveRetryDelayMs);
                     }
-                    throw new Error("out of time");
+                    throw new Error("deadline exceeded");
                 }
                 finally {
                     clearTimeout(timer);
--- a/packages/bench/src/traces.ts
+++ b/packages/bench/src/traces.ts
@@ -1,10 +1,10 @@
-/** Seeded traces of demand, and the fleets of the two deployments at today's sizes. */
+/** Seeded request traces, and the two reference fleets. */
 
-/** A small generator with a seed (mulberry32): the same numbers on every machine. */
+/** Deterministic pseudo-random number generator (mulberry32). */
 export class SeededRandom {
     public constructor(private state: number) {}
 
-    /** From 0 up to, but not including, 1. */
+    /** Returns a number in [0, 1). */
     public next(): number {
         this.state = (this.state + 0x6d2b79f5) | 0;
         let value = Math.imul(this.state ^ (this.state >>> 15), 1 | this.state);
@@ -12,13 +12,13 @@
         return ((value ^ (value >>> 14)) >>> 0) / 2 ** 32;
     }
 
-    /** Time to the next of events that come `rate` a second at random, in milliseconds. */
-    public gap(rate: number): number {
+    /** Milliseconds until the next event of a Poisson process with `rate` events per second. */
+    public nextIntervalMs(rate: number): number {
         return -Math.log(1 - this.next()) * 1000 / rate;
     }
 }
 
-/** One of the two deployments. */
+/** Size, settings and load of a simulated deployment. */
 export interface Fleet {
     readonly name: string;
     readonly models: number;
@@ -26,12 +26,12 @@
     readonly workers: number;
     readonly storeRate: number;
     readonly storeConcurrency: number;
-    /** Price of a move in `[placement]`. */
+    /** `moveCost` of the `[placement]` settings. */
     readonly moveCost: number;
-    /** Mean requests a second over all models. */
+    /** Mean requests per second over all models, outside bursts. */
     readonly rate: number;
-    /** One way between data centres, in milliseconds. */
-    readonly distanceMs: number;
+    /** One-way network delay between data centres, in milliseconds. */
+    readonly networkDelayMs: number;
 }
 
 export const fleets: readonly Fleet[] = [
@@ -44,7 +44,7 @@
         storeConcurrency: 15,
         moveCost: 0.6,
         rate: 45,
-        distanceMs: 0.5,
+        networkDelayMs: 0.5,
     },
     {
         name: "adumasa",
@@ -55,19 +55,18 @@
         storeConcurrency: 17,
         moveCost: 0.2,
         rate: 75,
-        distanceMs: 0.9,
+        networkDelayMs: 0.9,
     },
 ];
 
-/** A request of the trace. */
 export interface TraceRequest {
-    /** Milliseconds from the start. */
+    /** Milliseconds since the start of the trace. */
     readonly at: number;
-    /** Name of the model or adapter. */
+    /** Name of the requested model or adapter. */
     readonly target: string;
     readonly model: string;
     readonly tokens: number;
-    /** Which prompt's beginning it shares. */
+    /** Index of the prompt prefix, shared with other requests for the model. */
     readonly prefix: number;
 }
 
@@ -77,7 +76,7 @@
     readonly adapters: string[];
 }
 
-/** Something that is done to the fleet at a time. */
+/** A fault or a rollout that is applied to the fleet during the trace. */
 export interface TraceEvent {
     readonly at: number;
     readonly kind: "lose-worker" | "return-worker" | "lose-data-centre" | "return-data-centre" | "roll-version";
@@ -95,14 +94,14 @@
 const burstMs = 25_000;
 const prefixesPerModel = 6;
 
-/** Demand by a power law over the models, with bursts of ten times the usual without warning. */
-export function makeTrace(fleet: Fleet, durationMs: number, seed: number): Trace {
+/** Generates Poisson arrivals with Zipf-distributed model popularity and a burst for some models. */
+export function generateTrace(fleet: Fleet, durationMs: number, seed: number): Trace {
     const random = new SeededRandom(seed);
-    const models = makeModels(fleet, random);
+    const models = generateModels(fleet, random);
     const weights = models.map((_, rank) => 1 / (rank + 1) ** zipfExponent);
     const total = weights.reduce((sum, weight) => sum + weight, 0);
     const requests = models.flatMap((model, rank) =>
-        requestsOf(model, fleet.rate * weights[rank] / total, durationMs, random)
+        generateRequests(model, fleet.rate * weights[rank] / total, durationMs, random)
     );
     requests.sort((a, b) => a.at - b.at);
     const events: TraceEvent[] = [
@@ -115,7 +114,7 @@
     return { models, requests, events, durationMs };
 }
 
-function makeModels(fleet: Fleet, random: SeededRandom): TraceModel[] {
+function generateModels(fleet: Fleet, random: SeededRandom): TraceModel[] {
     const models = Array.from({ length: fleet.models }, (_, index) => ({
         name: `m${String(index).padStart(2, "0")}`,
         gibibytes: 2 + Math.floor(random.next() * 5),
@@ -125,14 +124,14 @@
         const model = models[Math.floor(random.next() * models.length)];
         model.adapters.push(`${model.name}-a${number}`);
     }
-    // The order of the names says nothing about the demand.
+    // Shuffled, so that popularity is unrelated to name order.
     return models.sort(() => random.next() - 0.5);
 }
 
-function requestsOf(model: TraceModel, rate: number, durationMs: number, random: SeededRandom): TraceRequest[] {
+function generateRequests(model: TraceModel, rate: number, durationMs: number, random: SeededRandom): TraceRequest[] {
     const requests: TraceRequest[] = [];
     const burstAt = random.next() * durationMs * 3;
-    for (let at = random.gap(rate); at < durationMs;) {
+    for (let at = random.nextIntervalMs(rate); at < durationMs;) {
         const inBurst = at >= burstAt && at < burstAt + burstMs;
         const targets = [model.name, ...model.adapters];
         requests.push({
@@ -142,7 +141,7 @@
             tokens: 10 + Math.floor(random.next() * 60),
             prefix: Math.floor(random.next() * prefixesPerModel),
         });
-        at += random.gap(rate * (inBurst ? burstFactor : 1));
+        at += random.nextIntervalMs(rate * (inBurst ? burstFactor : 1));
     }
     return requests;
 }
--- a/packages/testing/src/demo/main.ts
+++ b/packages/testing/src/demo/main.ts
@@ -1,26 +1,28 @@
-/** `npm run demo`: a small deployment of real processes, from the first declaration to the time line. */
+/** `npm run demo`: starts a small deployment of real processes, and runs the demo on it. */
 import { Deployment } from "../deployments/deployments.js";
-import { runCommand } from "../deployments/processes.js";
-import { runSession, sessionSpec } from "./sessions.js";
+import { runCli } from "../deployments/processes.js";
+import { demoSpec, runDemo } from "./sessions.js";
 
-const say = (line: string) => process.stdout.write(`${line}\n`);
+const print = (line: string) => process.stdout.write(`${line}\n`);
 
-say("Starting three entry hosts in three data centres, three engines and two booking services, with their agents.");
+print("Starting three entry hosts in three data centres, three engines and two booking services with agents.");
 const startedAt = Date.now();
-const deployment = await Deployment.start(sessionSpec);
+const deployment = await Deployment.start(demoSpec);
 try {
-    say(`All ${deployment.entries.length + deployment.upstreams.length * 2} processes serve after ${
-        Date.now() - startedAt
-    } ms.\n`);
-    await runSession(deployment, say);
-    say("\n$ winchpath status");
-    say((await runCommand(["status"], deployment.environment)).stdout);
-    say("$ winchpath timeline --limit 12");
-    say((await runCommand(["timeline", "--limit", "12"], deployment.environment)).stdout);
-    say(`The demo has ended well after ${Math.round((Date.now() - startedAt) / 1000)} s.`);
+    print(
+        `All ${deployment.entries.length + deployment.upstreams.length * 2} processes are ready after ${
+            Date.now() - startedAt
+        } ms.\n`,
+    );
+    await runDemo(deployment, print);
+    print("\n$ winchpath status");
+    print((await runCli(["status"], deployment.commandEnvironment)).stdout);
+    print("$ winchpath timeline --limit 12");
+    print((await runCli(["timeline", "--limit", "12"], deployment.commandEnvironment)).stdout);
+    print(`The demo succeeded after ${Math.round((Date.now() - startedAt) / 1000)} s.`);
 }
 catch (err) {
-    say(`\nThe demo failed: ${err instanceof Error ? err.message : String(err)}`);
+    print(`\nThe demo failed: ${err instanceof Error ? err.message : String(err)}`);
     process.exitCode = 1;
 }
 finally {
--- a/packages/testing/src/deployments/deployments.ts
+++ b/packages/testing/src/deployments/deployments.ts
@@ -1,4 +1,4 @@
-/** A small deployment of real processes on loopback: entry hosts, agents, and the stand-ins beside them. */
+/** Deployments of real processes on loopback: entry hosts, agents and their mock upstreams. */
 import { newIdentity, sleep } from "@winchpath/core";
 import { kinds, parseManifests } from "@winchpath/declarations";
 import { type Status } from "@winchpath/operators";
@@ -27,28 +27,28 @@
     readonly dataCentres: readonly string[];
     readonly engines: readonly EngineSpec[];
     readonly services: readonly ServiceSpec[];
-    /** Settings lines for entries, after the common ones. */
+    /** TOML that is appended to the settings of every entry. */
     readonly entrySettings?: string;
 }
 
 export interface EntryHost {
     readonly name: string;
-    readonly callers: string;
-    readonly operators: string;
-    readonly peers: string;
-    readonly settings: string;
+    readonly callersUrl: string;
+    readonly operatorsUrl: string;
+    readonly peersUrl: string;
+    readonly settingsFile: string;
     process: Process;
 }
 
 export interface UpstreamHost {
     readonly name: string;
     readonly url: string;
-    readonly settings: string;
+    readonly settingsFile: string;
     agent: Process;
-    standIn: Process;
+    mock: Process;
 }
 
-const pollMs = 100;
+const statusPollMs = 100;
 const key = "a key for tests on loopback only";
 
 export class Deployment {
@@ -60,7 +60,7 @@
 
     private constructor(public readonly folder: string, private readonly spec: DeploymentSpec) {}
 
-    /** Starts everything; returns once all processes serve. */
+    /** Starts all processes and waits until they are ready. */
     public static async start(spec: DeploymentSpec): Promise<Deployment> {
         const deployment = new Deployment(await mkdtemp(join(tmpdir(), "winchpath-")), spec);
         try {
@@ -73,15 +73,15 @@
         return deployment;
     }
 
-    /** The operators' interface, through all entries. */
+    /** A client of the operators' interface that fails over between all entries. */
     public get client(): OperatorClient {
-        this.operatorClient ??= new OperatorClient({ entries: this.entries.map(entry => entry.operators), key });
+        this.operatorClient ??= new OperatorClient({ entries: this.entries.map(entry => entry.operatorsUrl), key });
         return this.operatorClient;
     }
 
-    /** Makes the declarations what the TOML text says, and nothing else. */
-    public async declare(text: string, changeId = newIdentity()): Promise<number> {
-        const manifests = parseManifests(text, "toml").unwrap();
+    /** Replaces all declarations by those in a TOML text; returns the new revision. */
+    public async applyManifests(toml: string, changeId = newIdentity()): Promise<number> {
+        const manifests = parseManifests(toml, "toml").unwrap();
         const lists = await Promise.all(kinds.map(kind => this.client.list(kind)));
         const items = differencesOf(manifests, lists.flatMap(list => list.items), true);
         const result = await this.client.change({ changeId, operator: "awa", items }, false);
@@ -91,24 +91,30 @@
         return result.revision;
     }
 
-    /** Waits until the status is as asked for; gives it. */
-    public async untilStatus(what: string, holds: (status: Status) => boolean, timeoutMs = 30_000): Promise<Status> {
+    /** Polls the status until the predicate holds, and returns it; throws after the timeout. */
+    public async waitForStatus(
+        description: string,
+        predicate: (status: Status) => boolean,
+        timeoutMs = 30_000,
+    ): Promise<Status> {
         const deadline = Date.now() + timeoutMs;
         for (;;) {
             const status = await this.client.status().catch(() => undefined);
-            if (status !== undefined && holds(status)) {
+            if (status !== undefined && predicate(status)) {
                 return status;
             }
             if (Date.now() >= deadline) {
-                throw new Error(`not ${what} within ${timeoutMs} ms: ${JSON.stringify(status)}`);
+                throw new Error(
+                    `status did not become "${description}" within ${timeoutMs} ms: ${JSON.stringify(status)}`,
+                );
             }
-            await sleep(pollMs);
+            await sleep(statusPollMs);
         }
     }
 
-    /** Waits until every declared model is ready, and every process has the newest revision. */
-    public untilReady(timeoutMs?: number): Promise<Status> {
-        return this.untilStatus(
+    /** Waits until every declared model and service is available and every process has applied the newest revision. */
+    public waitUntilReady(timeoutMs?: number): Promise<Status> {
+        return this.waitForStatus(
             "ready",
             status =>
                 status.behind.length === 0 && status.models.every(model => model.condition === "ready")
@@ -117,7 +123,7 @@
         );
     }
 
-    /** Sets faults of the stand-in beside an agent. */
+    /** Configures fault injection of an agent's mock upstream. */
     public async setFaults(name: string, faults: object): Promise<void> {
         const body = JSON.stringify(faults);
         await fetch(`${this.upstream(name).url}/stand-in/faults`, {
@@ -127,16 +133,16 @@
         });
     }
 
-    /** The entry that leads the control group. */
-    public async leader(): Promise<EntryHost> {
-        const status = await this.untilStatus("led", ({ leader }) => leader !== "");
+    /** Waits until the control group has a leader, and returns its entry. */
+    public async findLeader(): Promise<EntryHost> {
+        const status = await this.waitForStatus("led", ({ leader }) => leader !== "");
         return this.entry(status.leader);
     }
 
-    /** Environment for the command line. */
-    public get environment(): Record<string, string> {
+    /** Environment variables for the `winchpath` command. */
+    public get commandEnvironment(): Record<string, string> {
         return {
-            WINCHPATH_ENTRIES: this.entries.map(entry => entry.operators).join(","),
+            WINCHPATH_ENTRIES: this.entries.map(entry => entry.operatorsUrl).join(","),
             WINCHPATH_KEY_FILE: join(this.folder, "key"),
             WINCHPATH_OPERATOR: "awa",
         };
@@ -150,30 +156,29 @@
         return this.upstreams.find(upstream => upstream.name === name)!;
     }
 
-    /** Starts the process of an entry host again. */
     public async restartEntry(entry: EntryHost): Promise<void> {
-        entry.process = await Process.daemon(entry.settings, entry.name).untilReady();
+        entry.process = await Process.startDaemon(entry.settingsFile, entry.name).waitUntilReady();
     }
 
-    /** Starts the stand-in beside an agent again, on the same port. */
-    public async restartStandIn(upstream: UpstreamHost): Promise<void> {
+    /** Restarts an agent's mock upstream on the same port. */
+    public async restartMock(upstream: UpstreamHost): Promise<void> {
         const spec = this.spec.engines.find(engine => engine.name === upstream.name);
         const port = Number(new URL(upstream.url).port);
         const kind = spec === undefined ? "service" : "engine";
-        upstream.standIn = await this.standIn(kind, port, spec?.options ?? {}).untilReady();
+        upstream.mock = await this.startMock(kind, port, spec?.options ?? {}).waitUntilReady();
     }
 
     public async restartAgent(upstream: UpstreamHost): Promise<void> {
-        upstream.agent = await Process.daemon(upstream.settings, upstream.name).untilReady();
+        upstream.agent = await Process.startDaemon(upstream.settingsFile, upstream.name).waitUntilReady();
     }
 
-    /** Throws an entry host's data folder away, as the loss of its disk does. */
-    public async wipe(entry: EntryHost): Promise<void> {
+    /** Deletes an entry host's data folder, to simulate the loss of its disk. */
+    public async deleteData(entry: EntryHost): Promise<void> {
         await rm(join(this.folder, entry.name), { recursive: true, force: true });
     }
 
-    /** Facts of the stand-in beside an agent. */
-    public async facts<T>(name: string): Promise<T> {
+    /** Fetches the statistics of an agent's mock upstream. */
+    public async fetchStats<T>(name: string): Promise<T> {
         const res = await fetch(`${this.upstream(name).url}/stand-in/facts`);
         return await res.json() as T;
     }
@@ -181,7 +186,7 @@
     public async stop(): Promise<void> {
         const processes = [
             ...this.entries.map(entry => entry.process),
-            ...this.upstreams.flatMap(upstream => [upstream.agent, upstream.standIn]),
+            ...this.upstreams.flatMap(upstream => [upstream.agent, upstream.mock]),
         ];
         await Promise.all(processes.filter(process => process !== undefined).map(process => process.kill()));
         await rm(this.folder, { recursive: true, force: true });
@@ -190,19 +195,19 @@
     private async startAll(): Promise<void> {
         await writeFile(join(this.folder, "key"), key);
         const { dataCentres, engines, services } = this.spec;
-        const entryPorts = await freePorts(
+        const availablePorts = await freePorts(
             this.address,
             dataCentres.length * 3 + (engines.length + services.length) * 2,
         );
-        const take = () => entryPorts.pop()!;
-        const entries = dataCentres.map(dataCentre => ({
+        const takePort = () => availablePorts.pop()!;
+        const entryAddresses = dataCentres.map(dataCentre => ({
             dataCentre,
-            peers: take(),
-            callers: take(),
-            operators: take(),
+            peers: takePort(),
+            callers: takePort(),
+            operators: takePort(),
         }));
-        this.seeds = JSON.stringify(entries.map(({ peers }) => `http://${this.address}:${peers}`));
-        for (const { dataCentre, peers, callers, operators } of entries) {
+        this.seeds = JSON.stringify(entryAddresses.map(({ peers }) => `http://${this.address}:${peers}`));
+        for (const { dataCentre, peers, callers, operators } of entryAddresses) {
             const name = `entry-${dataCentre}`;
             const settings = await this.writeSettings(name, [
                 `role = "entry"`,
@@ -217,24 +222,24 @@
             ]);
             this.entries.push({
                 name,
-                callers: `http://${this.address}:${callers}`,
-                operators: `http://${this.address}:${operators}`,
-                peers: `http://${this.address}:${peers}`,
-                settings,
-                process: Process.daemon(settings, name),
+                callersUrl: `http://${this.address}:${callers}`,
+                operatorsUrl: `http://${this.address}:${operators}`,
+                peersUrl: `http://${this.address}:${peers}`,
+                settingsFile: settings,
+                process: Process.startDaemon(settings, name),
             });
         }
         const starting = [
-            ...engines.map(spec => this.startEngine(spec, take(), take())),
-            ...services.map(spec => this.startService(spec, take(), take())),
+            ...engines.map(spec => this.startEngine(spec, takePort(), takePort())),
+            ...services.map(spec => this.startService(spec, takePort(), takePort())),
         ];
         this.upstreams.push(...await Promise.all(starting));
-        await Promise.all(this.entries.map(entry => entry.process.untilReady()));
+        await Promise.all(this.entries.map(entry => entry.process.waitUntilReady()));
     }
 
     private async startEngine(spec: EngineSpec, port: number, agentPort: number): Promise<UpstreamHost> {
         const { name, dataCentre, memory, options = {} } = spec;
-        return this.startUpstream(name, dataCentre, port, agentPort, this.standIn("engine", port, options), [
+        return this.startUpstream(name, dataCentre, port, agentPort, this.startMock("engine", port, options), [
             `kind = "engine"`,
             `concurrency = ${options.capacity ?? 8}`,
             `checksFence = ${options.checksFence ?? true}`,
@@ -245,8 +250,8 @@
 
     private async startService(spec: ServiceSpec, port: number, agentPort: number): Promise<UpstreamHost> {
         const { name, dataCentre, service } = spec;
-        const standIn = this.standIn("service", port, {});
-        return this.startUpstream(name, dataCentre, port, agentPort, standIn, [
+        const mock = this.startMock("service", port, {});
+        return this.startUpstream(name, dataCentre, port, agentPort, mock, [
             `kind = "service"`,
             `service = "${service}"`,
         ]);
@@ -257,8 +262,8 @@
         dataCentre: string,
         port: number,
         agentPort: number,
-        standIn: Process,
-        lines: readonly string[],
+        mock: Process,
+        upstreamSettings: readonly string[],
     ): Promise<UpstreamHost> {
         const url = `http://${this.address}:${port}`;
         const settings = await this.writeSettings(name, [
@@ -270,15 +275,15 @@
             `[upstream]`,
             `name = "${name}"`,
             `url = "${url}"`,
-            ...lines,
+            ...upstreamSettings,
         ]);
-        const agent = Process.daemon(settings, name);
-        await Promise.all([agent.untilReady(), standIn.untilReady()]);
-        return { name, url, settings, agent, standIn };
+        const agent = Process.startDaemon(settings, name);
+        await Promise.all([agent.waitUntilReady(), mock.waitUntilReady()]);
+        return { name, url, settingsFile: settings, agent, mock };
     }
 
-    private standIn(kind: string, port: number, options: object): Process {
-        return Process.standIn(kind, this.address, port, options);
+    private startMock(kind: string, port: number, options: object): Process {
+        return Process.startMock(kind, this.address, port, options);
     }
 
     private async writeSettings(name: string, lines: readonly string[]): Promise<string> {
--- a/packages/testing/src/deployments/processes.ts
+++ b/packages/testing/src/deployments/processes.ts
@@ -1,56 +1,56 @@
-/** Real processes that tests start, freeze, kill and stop. */
+/** Child processes that tests start, signal and stop. */
 import { Deferred, withTimeout } from "@winchpath/core";
 import { type ChildProcess, spawn } from "node:child_process";
 import { once } from "node:events";
 import { fileURLToPath } from "node:url";
 
 const readyTimeoutMs = 30_000;
-const daemon = fileURLToPath(import.meta.resolve("winchpathd")).replace(/index\.js$/, "main.js");
-const commandLine = fileURLToPath(import.meta.resolve("winchpath")).replace(/index\.js$/, "main.js");
-const standIn = fileURLToPath(new URL("../standins/main.js", import.meta.url));
+const daemonScript = fileURLToPath(import.meta.resolve("winchpathd")).replace(/index\.js$/, "main.js");
+const cliScript = fileURLToPath(import.meta.resolve("winchpath")).replace(/index\.js$/, "main.js");
+const mockScript = fileURLToPath(new URL("../standins/main.js", import.meta.url));
 
 export class Process {
     public output = "";
     private exited = false;
-    private ending = false;
+    private exitExpected = false;
     private readonly ready = new Deferred<void>();
 
     private constructor(private readonly child: ChildProcess, public readonly name: string) {
-        const take = (chunk: Buffer) => {
+        const appendOutput = (chunk: Buffer) => {
             this.output += String(chunk);
             if (/is ready/.test(this.output)) {
                 this.ready.resolve();
             }
         };
-        child.stdout?.on("data", take);
-        child.stderr?.on("data", take);
+        child.stdout?.on("data", appendOutput);
+        child.stderr?.on("data", appendOutput);
         child.once("exit", code => {
             this.exited = true;
-            if (!this.ending) {
-                process.stderr.write(`${name} ended by itself with ${code}: ${this.output}\n`);
+            if (!this.exitExpected) {
+                process.stderr.write(`${name} exited unexpectedly with code ${code}: ${this.output}\n`);
             }
-            this.ready.reject(new Error(`${name} ended with ${code}: ${this.output}`));
+            this.ready.reject(new Error(`${name} exited with code ${code}: ${this.output}`));
         });
         this.ready.promise.catch(() => undefined);
     }
 
-    public static daemon(settings: string, name: string): Process {
-        return new Process(spawn(process.execPath, [daemon, "--settings", settings], options), name);
+    public static startDaemon(settings: string, name: string): Process {
+        return new Process(spawn(process.execPath, [daemonScript, "--settings", settings], spawnOptions), name);
     }
 
-    /** A process on the users' platform, whose settings file is named by a variable. */
+    /** Starts a platform process, which reads the path of its settings file from the environment. */
     public static platform(role: string, settings: string, name: string): Process {
         const env = { ...process.env, WINCHPATH_SETTINGS: settings };
-        return new Process(spawn(process.execPath, [daemon, "--platform", role], { ...options, env }), name);
+        return new Process(spawn(process.execPath, [daemonScript, "--platform", role], { ...spawnOptions, env }), name);
     }
 
-    public static standIn(kind: string, address: string, port: number, settings: object): Process {
-        const args = [standIn, kind, address, String(port), JSON.stringify(settings)];
-        return new Process(spawn(process.execPath, args, options), `${kind}:${port}`);
+    public static startMock(kind: string, address: string, port: number, settings: object): Process {
+        const args = [mockScript, kind, address, String(port), JSON.stringify(settings)];
+        return new Process(spawn(process.execPath, args, spawnOptions), `${kind}:${port}`);
     }
 
-    /** Waits until it says that it is ready. */
-    public async untilReady(): Promise<this> {
+    /** Waits until the process prints that it is ready. */
+    public async waitUntilReady(): Promise<this> {
         await withTimeout(this.ready.promise, readyTimeoutMs, `the start of ${this.name}`);
         return this;
     }
@@ -63,24 +63,23 @@
         return !this.exited;
     }
 
-    /** Whether it has ended though nobody ended it. */
+    /** Whether the process exited without being asked to. */
     public get endedByItself(): boolean {
-        return this.exited && !this.ending;
+        return this.exited && !this.exitExpected;
     }
 
-    /** Sends a signal. */
     public signal(signal: NodeJS.Signals): void {
         this.child.kill(signal);
     }
 
-    /** Stops it as planned; gives the exit code. */
+    /** Sends SIGTERM, and returns the exit code. */
     public async stop(): Promise<number | undefined> {
-        return this.end("SIGTERM");
+        return this.terminate("SIGTERM");
     }
 
-    /** Waits until it ends by itself; gives the exit code. */
+    /** Waits for the process to exit on its own, and returns the exit code. */
     public async ended(): Promise<number | undefined> {
-        this.ending = true;
+        this.exitExpected = true;
         if (this.running) {
             await once(this.child, "close");
         }
@@ -88,13 +87,14 @@
     }
 
     public async kill(): Promise<void> {
-        await this.end("SIGKILL");
+        await this.terminate("SIGKILL");
     }
 
-    private async end(signal: NodeJS.Signals): Promise<number | undefined> {
-        this.ending = true;
+    private async terminate(signal: NodeJS.Signals): Promise<number | undefined> {
+        this.exitExpected = true;
         if (this.running) {
             const exited = once(this.child, "exit");
+            // A stopped process handles SIGTERM only after it continues.
             this.child.kill("SIGCONT");
             this.child.kill(signal);
             await exited;
@@ -103,11 +103,11 @@
     }
 }
 
-const options = { stdio: ["ignore", "pipe", "pipe"] as ["ignore", "pipe", "pipe"] };
+const spawnOptions = { stdio: ["ignore", "pipe", "pipe"] as ["ignore", "pipe", "pipe"] };
 
-/** Runs the command line; gives its exit code and output. */
-export async function runCommand(args: readonly string[], env: Record<string, string> = {}) {
-    const child = spawn(process.execPath, [commandLine, ...args], { ...options, env: { ...process.env, ...env } });
+/** Runs the `winchpath` command to its end; returns the exit code and output. */
+export async function runCli(args: readonly string[], env: Record<string, string> = {}) {
+    const child = spawn(process.execPath, [cliScript, ...args], { ...spawnOptions, env: { ...process.env, ...env } });
     let stdout = "";
     let stderr = "";
     child.stdout.on("data", chunk => stdout += String(chunk));
--- a/packages/testing/src/standins/callers.ts
+++ b/packages/testing/src/standins/callers.ts
@@ -1,14 +1,13 @@
-/** A caller to test with. */
+/** Client functions that send chats and bookings to an entry. */
 import { createParser } from "eventsource-parser";
 import { request } from "undici";
 
-/** What a caller got for a chat. */
-export interface ChatAnswer {
+export interface ChatResult {
     readonly status: number;
-    /** The content, joined. */
+    /** The concatenated content of all chunks. */
     readonly text: string;
-    /** Whether the stream's end mark came, or the whole body. */
-    readonly whole: boolean;
+    /** Whether the stream ended with `[DONE]`. */
+    readonly isComplete: boolean;
     readonly outcome: string | undefined;
     readonly retryAfter: string | undefined;
     readonly code: string | undefined;
@@ -18,24 +17,24 @@
     readonly tokens?: number;
     readonly headers?: Record<string, string>;
     readonly signal?: AbortSignal;
-    /** Called at each piece of content. */
-    readonly onToken?: (token: string) => void | Promise<void>;
+    /** Called after each received chunk with the content so far. */
+    readonly onToken?: (text: string) => void | Promise<void>;
 }
 
-/** Asks for a streamed answer. A broken stream is not an error here: `whole` tells. */
-export async function chat(
-    entry: string,
+/** Sends a streaming chat request. An interrupted stream doesn't throw; `isComplete` is false then. */
+export async function sendChat(
+    entryUrl: string,
     model: string,
     question: string,
     options: ChatOptions = {},
-): Promise<ChatAnswer> {
+): Promise<ChatResult> {
     const body = {
         model,
         stream: true,
         max_tokens: options.tokens ?? 8,
         messages: [{ role: "user", content: question }],
     };
-    const res = await request(`${entry}/v1/chat/completions`, {
+    const res = await request(`${entryUrl}/v1/chat/completions`, {
         method: "POST",
         headers: { "content-type": "application/json", ...options.headers },
         body: JSON.stringify(body),
@@ -47,18 +46,18 @@
         return {
             status: res.statusCode,
             text: "",
-            whole: false,
+            isComplete: false,
             outcome: problem.outcome,
             code: problem.code,
             retryAfter,
         };
     }
     let text = "";
-    let whole = false;
+    let isComplete = false;
     const parser = createParser({
         onEvent: event => {
-            whole = event.data === "[DONE]";
-            text += whole ? "" : tokenOf(event.data);
+            isComplete = event.data === "[DONE]";
+            text += isComplete ? "" : parseTokenContent(event.data);
         },
     });
     try {
@@ -68,25 +67,29 @@
         }
     }
     catch {
-        whole = false;
+        isComplete = false;
     }
-    return { status: 200, text, whole, outcome: undefined, retryAfter: undefined, code: undefined };
+    return { status: 200, text, isComplete, outcome: undefined, retryAfter: undefined, code: undefined };
 }
 
-function tokenOf(data: string): string {
+function parseTokenContent(data: string): string {
     return (JSON.parse(data) as { choices: { delta: { content: string; }; }[]; }).choices[0].delta.content;
 }
 
-/** What a caller got for a booking. */
-export interface BookingAnswer {
+export interface BookingResult {
     readonly status: number;
     readonly body: Record<string, unknown>;
     readonly retryAfter: string | undefined;
 }
 
-/** Makes a booking, under an idempotency key where one is given. */
-export async function book(entry: string, booking: string, key?: string, delayMs = 0): Promise<BookingAnswer> {
-    const res = await request(`${entry}/services/booking-api/bookings`, {
+/** Sends a booking, with an idempotency key if one is given. */
+export async function createBooking(
+    entryUrl: string,
+    booking: string,
+    key?: string,
+    delayMs = 0,
+): Promise<BookingResult> {
+    const res = await request(`${entryUrl}/services/booking-api/bookings`, {
         method: "POST",
         headers: {
             "content-type": "application/json",
--- a/packages/testing/src/standins/engines.ts
+++ b/packages/testing/src/standins/engines.ts
@@ -1,22 +1,22 @@
-/** A model engine to test against: it speaks the engine's protocol, and tells what it was asked to hold. */
+/** A mock model engine that implements the engine protocol and records memory use and requests. */
 import fastify, { type FastifyInstance, type FastifyReply, type FastifyRequest } from "fastify";
 import { once } from "node:events";
 import { setTimeout as delay } from "node:timers/promises";
 
 export interface EngineOptions {
-    /** Whether orders with an old fencing number are refused. */
+    /** Whether orders with a stale fencing token are rejected. */
     readonly checksFence: boolean;
-    /** Requests served at once at full speed. */
+    /** Number of concurrent requests that are served at full speed. */
     readonly capacity: number;
-    /** Time for the first token, and for each further one, at full speed. */
+    /** Time to process the prompt, and to generate each token, at full speed. */
     readonly prefillMs: number;
     readonly tokenMs: number;
-    /** Time to load without the store; with one, what it takes there. */
+    /** Load time without a weight store; with one, its response time counts. */
     readonly loadMs: number;
     readonly unloadMs: number;
     /** Base URL of the weight store. */
     readonly store?: string;
-    /** By how much the reported load lags. */
+    /** Age of the load that is reported. */
     readonly reportLagMs: number;
 }
 
@@ -30,19 +30,19 @@
     reportLagMs: 0,
 };
 
-/** Faults that tests turn on and off. */
+/** Injectable faults. */
 export interface EngineFaults {
-    /** Orders that take effect but whose answer is lost. */
+    /** How many of the next orders take effect without a response. */
     loseAnswers: number;
-    /** Orders that are lost on the way. */
+    /** How many of the next orders are dropped. */
     loseOrders: number;
-    /** Orders take effect this much later than they are answered or given up on. */
+    /** Delay before an order takes effect, which may be after the sender's timeout. */
     delayOrdersMs: number;
-    /** Cuts the connection after this many tokens; 0 does not. */
+    /** Closes a stream's connection after this many tokens; 0 disables it. */
     cutAfterTokens: number;
 }
 
-interface Held {
+interface Resident {
     readonly bytes: number;
     ready: boolean;
 }
@@ -55,42 +55,42 @@
     readonly bytes: number;
 }
 
-/** What the engine has seen, as proof. */
-export interface EngineFacts {
-    /** Most bytes that each accelerator was asked to hold at once. */
+/** Counters that tests verify. */
+export interface EngineStats {
+    /** Peak memory use of each accelerator, in bytes. */
     readonly peak: Record<string, number>;
     readonly loads: number;
     readonly unloads: number;
-    /** How often each request id was run. */
+    /** Number of executions by request id. */
     readonly ran: Record<string, number>;
-    /** Date.now() of the newest request that began. */
+    /** When the most recent request started, in epoch milliseconds. */
     readonly lastStartedAt: number;
 }
 
 const acceptedStatus = 202;
-const fencedStatus = 409;
+const staleFenceStatus = 409;
 const notFoundStatus = 404;
-const cachedPrefixes = 32;
-const cachedShare = 0.25;
+const prefixCacheSize = 32;
+const cachedPrefillFactor = 0.25;
 const requestIdHeader = "winchpath-request-id";
 
-export class StandInEngine {
+export class MockEngine {
     public readonly faults: EngineFaults = { loseAnswers: 0, loseOrders: 0, delayOrdersMs: 0, cutAfterTokens: 0 };
-    public readonly facts: EngineFacts = { peak: {}, loads: 0, unloads: 0, ran: {}, lastStartedAt: 0 };
+    public readonly stats: EngineStats = { peak: {}, loads: 0, unloads: 0, ran: {}, lastStartedAt: 0 };
     private readonly app: FastifyInstance = fastify({ forceCloseConnections: true });
-    private readonly held = new Map<string, Held>();
+    private readonly residents = new Map<string, Resident>();
     private fence = { term: 0, index: 0 };
     private running = 0;
     private waiting = 0;
     private loadHistory: { at: number; running: number; waiting: number; }[] = [];
-    private readonly prefixes: string[] = [];
-    private readonly slots: (() => void)[] = [];
+    private readonly cachedPrefixes: string[] = [];
+    private readonly queue: (() => void)[] = [];
 
     public constructor(private readonly options: EngineOptions = defaultEngineOptions) {
-        this.app.get("/engine/state", () => this.state());
-        this.app.post("/engine/orders", (req, reply) => this.takeOrder(req.body as Order, reply));
-        this.app.post("/v1/chat/completions", (req, reply) => this.answer(req, reply));
-        this.app.get("/stand-in/facts", () => this.facts);
+        this.app.get("/engine/state", () => this.reportState());
+        this.app.post("/engine/orders", (req, reply) => this.receiveOrder(req.body as Order, reply));
+        this.app.post("/v1/chat/completions", (req, reply) => this.completeChat(req, reply));
+        this.app.get("/stand-in/facts", () => this.stats);
         this.app.post("/stand-in/faults", req => Object.assign(this.faults, req.body));
     }
 
@@ -102,39 +102,42 @@
         await this.app.close();
     }
 
-    /** Forgets all that it holds, as a restart does. */
-    public restart(): void {
-        this.held.clear();
+    /** Unloads everything at once, as a restart does. */
+    public reset(): void {
+        this.residents.clear();
     }
 
-    public holds(item: string): boolean {
-        return [...this.held].some(([key, held]) => key.endsWith(`|${item}`) && held.ready);
+    public isLoaded(item: string): boolean {
+        return [...this.residents].some(([key, resident]) => key.endsWith(`|${item}`) && resident.ready);
     }
 
-    private state() {
-        const residents = [...this.held].map(([key, held]) => {
+    private reportState() {
+        const residents = [...this.residents].map(([key, resident]) => {
             const [accelerator, item] = key.split("|");
-            return { accelerator, item, bytes: held.bytes, ready: held.ready };
+            return { accelerator, item, bytes: resident.bytes, ready: resident.ready };
         });
         const horizon = Date.now() - this.options.reportLagMs;
-        const seen = this.loadHistory.findLast(sample => sample.at <= horizon) ?? { running: 0, waiting: 0 };
-        return { residents, load: { running: seen.running, waiting: seen.waiting, ageMs: this.options.reportLagMs } };
+        const sample = this.loadHistory.findLast(sample => sample.at <= horizon) ?? { running: 0, waiting: 0 };
+        return {
+            residents,
+            load: { running: sample.running, waiting: sample.waiting, ageMs: this.options.reportLagMs },
+        };
     }
 
-    private noteLoad(): void {
+    private recordLoad(): void {
         this.loadHistory.push({ at: Date.now(), running: this.running, waiting: this.waiting });
         this.loadHistory = this.loadHistory.slice(-2000);
     }
 
-    private async takeOrder(order: Order, reply: FastifyReply) {
+    private async receiveOrder(order: Order, reply: FastifyReply) {
         if (this.faults.loseOrders > 0) {
             this.faults.loseOrders -= 1;
             reply.raw.destroy();
             return reply.hijack();
         }
         const { delayOrdersMs } = this.faults;
-        const lost = this.faults.loseAnswers > 0 && order.kind !== "barrier";
-        if (lost) {
+        const dropResponse = this.faults.loseAnswers > 0 && order.kind !== "barrier";
+        if (dropResponse) {
             this.faults.loseAnswers -= 1;
             reply.raw.destroy();
             reply.hijack();
@@ -142,18 +145,18 @@
         if (delayOrdersMs > 0 && order.kind !== "barrier") {
             await delay(delayOrdersMs);
         }
-        const accepted = this.carryOut(order);
-        return lost ? reply : reply.code(accepted ? acceptedStatus : fencedStatus).send({});
+        const accepted = this.executeOrder(order);
+        return dropResponse ? reply : reply.code(accepted ? acceptedStatus : staleFenceStatus).send({});
     }
 
-    private carryOut(order: Order): boolean {
+    private executeOrder(order: Order): boolean {
         const { term, index } = order.fence;
-        const old = term < this.fence.term || (term === this.fence.term && index < this.fence.index);
-        const repeated = term === this.fence.term && index === this.fence.index && order.kind !== "barrier";
-        if (this.options.checksFence && (old || repeated)) {
+        const isStale = term < this.fence.term || (term === this.fence.term && index < this.fence.index);
+        const isDuplicate = term === this.fence.term && index === this.fence.index && order.kind !== "barrier";
+        if (this.options.checksFence && (isStale || isDuplicate)) {
             return false;
         }
-        if (!old) {
+        if (!isStale) {
             this.fence = order.fence;
         }
         if (order.kind === "load") {
@@ -167,16 +170,16 @@
 
     private async load(order: Order): Promise<void> {
         const key = `${order.accelerator}|${order.item}`;
-        const held = { bytes: order.bytes, ready: false };
-        this.held.set(key, held);
-        (this.facts as { loads: number; }).loads += 1;
-        this.notePeak(order.accelerator);
+        const resident = { bytes: order.bytes, ready: false };
+        this.residents.set(key, resident);
+        (this.stats as { loads: number; }).loads += 1;
+        this.recordPeak(order.accelerator);
         try {
             await this.fetchWeights(order);
-            held.ready = true;
+            resident.ready = true;
         }
         catch {
-            this.held.delete(key);
+            this.residents.delete(key);
         }
     }
 
@@ -188,55 +191,55 @@
         const res = await fetch(`${this.options.store}/weights/${encodeURIComponent(item)}?bytes=${bytes}`);
         await res.text();
         if (!res.ok) {
-            throw new Error(`store answered ${res.status}`);
+            throw new Error(`weight store responded with status ${res.status}`);
         }
     }
 
     private async unload({ accelerator, item }: Order): Promise<void> {
-        const held = this.held.get(`${accelerator}|${item}`);
-        (this.facts as { unloads: number; }).unloads += 1;
-        if (held !== undefined) {
-            held.ready = false;
+        const resident = this.residents.get(`${accelerator}|${item}`);
+        (this.stats as { unloads: number; }).unloads += 1;
+        if (resident !== undefined) {
+            resident.ready = false;
             await delay(this.options.unloadMs);
-            this.held.delete(`${accelerator}|${item}`);
+            this.residents.delete(`${accelerator}|${item}`);
         }
     }
 
-    private notePeak(accelerator: string): void {
-        const mine = [...this.held].filter(([key]) => key.startsWith(`${accelerator}|`));
-        const bytes = mine.reduce((sum, [, held]) => sum + held.bytes, 0);
-        this.facts.peak[accelerator] = Math.max(this.facts.peak[accelerator] ?? 0, bytes);
+    private recordPeak(accelerator: string): void {
+        const residents = [...this.residents].filter(([key]) => key.startsWith(`${accelerator}|`));
+        const bytes = residents.reduce((sum, [, resident]) => sum + resident.bytes, 0);
+        this.stats.peak[accelerator] = Math.max(this.stats.peak[accelerator] ?? 0, bytes);
     }
 
-    private async answer(req: FastifyRequest, reply: FastifyReply) {
+    private async completeChat(req: FastifyRequest, reply: FastifyReply) {
         const chat = req.body as {
             model: string;
             stream?: boolean;
             max_tokens?: number;
             messages: { content: string; }[];
         };
-        if (!this.holds(chat.model)) {
+        if (!this.isLoaded(chat.model)) {
             return reply.code(notFoundStatus).header("winchpath-not-started", "1").send({
                 error: `${chat.model} is not loaded`,
             });
         }
         const requestId = String(req.headers[requestIdHeader] ?? "");
-        this.facts.ran[requestId] = (this.facts.ran[requestId] ?? 0) + 1;
-        (this.facts as { lastStartedAt: number; }).lastStartedAt = Date.now();
-        await this.enter();
+        this.stats.ran[requestId] = (this.stats.ran[requestId] ?? 0) + 1;
+        (this.stats as { lastStartedAt: number; }).lastStartedAt = Date.now();
+        await this.acquireSlot();
         try {
             await this.prefill(JSON.stringify(chat.messages[0]).slice(0, 256));
-            const tokens = tokensFor(chat.messages.at(-1)!.content, chat.max_tokens ?? 8);
+            const tokens = generateTokens(chat.messages.at(-1)!.content, chat.max_tokens ?? 8);
             if (chat.stream) {
                 reply.hijack();
                 await this.stream(reply, chat.model, tokens);
                 return reply;
             }
-            await delay(this.slowed(this.options.tokenMs * tokens.length));
+            await delay(this.scaleByLoad(this.options.tokenMs * tokens.length));
             return completion(chat.model, tokens.join(""));
         }
         finally {
-            this.leave();
+            this.releaseSlot();
         }
     }
 
@@ -244,7 +247,7 @@
         const { raw } = reply;
         raw.writeHead(200, { "content-type": "text/event-stream" });
         for (const [index, token] of tokens.entries()) {
-            await delay(this.slowed(this.options.tokenMs));
+            await delay(this.scaleByLoad(this.options.tokenMs));
             if (raw.destroyed || (this.faults.cutAfterTokens > 0 && index >= this.faults.cutAfterTokens)) {
                 raw.destroy();
                 return;
@@ -256,41 +259,41 @@
         raw.end("data: [DONE]\n\n");
     }
 
-    /** Beyond four times its capacity requests wait; below it they share the speed. */
-    private async enter(): Promise<void> {
+    /** Queues requests beyond four times the capacity. */
+    private async acquireSlot(): Promise<void> {
         if (this.running >= this.options.capacity * 4) {
             this.waiting += 1;
-            this.noteLoad();
-            await new Promise<void>(resolve => this.slots.push(resolve));
+            this.recordLoad();
+            await new Promise<void>(resolve => this.queue.push(resolve));
             this.waiting -= 1;
         }
         this.running += 1;
-        this.noteLoad();
+        this.recordLoad();
     }
 
-    private leave(): void {
+    private releaseSlot(): void {
         this.running -= 1;
-        this.noteLoad();
-        this.slots.shift()?.();
+        this.recordLoad();
+        this.queue.shift()?.();
     }
 
     private async prefill(prefix: string): Promise<void> {
-        const known = this.prefixes.indexOf(prefix);
-        if (known !== -1) {
-            this.prefixes.splice(known, 1);
+        const cachedIndex = this.cachedPrefixes.indexOf(prefix);
+        if (cachedIndex !== -1) {
+            this.cachedPrefixes.splice(cachedIndex, 1);
         }
-        this.prefixes.push(prefix);
-        this.prefixes.splice(0, Math.max(0, this.prefixes.length - cachedPrefixes));
-        await delay(this.slowed(this.options.prefillMs * (known === -1 ? 1 : cachedShare)));
+        this.cachedPrefixes.push(prefix);
+        this.cachedPrefixes.splice(0, Math.max(0, this.cachedPrefixes.length - prefixCacheSize));
+        await delay(this.scaleByLoad(this.options.prefillMs * (cachedIndex === -1 ? 1 : cachedPrefillFactor)));
     }
 
-    private slowed(ms: number): number {
+    private scaleByLoad(ms: number): number {
         return ms * Math.max(1, this.running / this.options.capacity);
     }
 }
 
-/** The answer follows from the question alone, so that another's shows. */
-export function tokensFor(question: string, count: number): string[] {
+/** Derives the tokens from the question, so that a test notices a response that belongs to another request. */
+export function generateTokens(question: string, count: number): string[] {
     return Array.from({ length: count }, (_, index) => `${question}#${index} `);
 }
 
--- a/packages/testing/src/standins/stores.ts
+++ b/packages/testing/src/standins/stores.ts
@@ -1,37 +1,37 @@
-/** A weight store to test against: so many loads a second, so many at once at full speed. */
+/** A mock weight store with a rate limit and limited bandwidth. */
 import fastify, { type FastifyInstance } from "fastify";
 import { setTimeout as delay } from "node:timers/promises";
 
-export interface StoreOptions {
+export interface WeightStoreOptions {
     readonly ratePerSecond: number;
+    /** Number of concurrent loads that are served at full speed. */
     readonly atOnce: number;
-    /** Time of one load at full speed. */
+    /** Duration of one load at full speed. */
     readonly loadMs: number;
 }
 
-const tooManyStatus = 429;
+const tooManyRequestsStatus = 429;
 
-export class StandInStore {
-    /** Most loads in any second, and at once. */
-    public readonly facts = { loads: 0, refused: 0, mostAtOnce: 0 };
+export class MockWeightStore {
+    public readonly stats = { loads: 0, refused: 0, mostAtOnce: 0 };
     private readonly app: FastifyInstance = fastify({ forceCloseConnections: true });
-    private readonly times: number[] = [];
-    private current = 0;
+    private readonly requestTimes: number[] = [];
+    private activeLoads = 0;
 
-    public constructor(private readonly options: StoreOptions) {
+    public constructor(private readonly options: WeightStoreOptions) {
         this.app.get("/weights/:item", async (_req, reply) => {
-            if (!this.admit()) {
-                this.facts.refused += 1;
-                return reply.code(tooManyStatus).send({});
+            if (!this.tryAcquire()) {
+                this.stats.refused += 1;
+                return reply.code(tooManyRequestsStatus).send({});
             }
-            this.current += 1;
-            this.facts.loads += 1;
-            this.facts.mostAtOnce = Math.max(this.facts.mostAtOnce, this.current);
-            await delay(this.options.loadMs * Math.max(1, this.current / this.options.atOnce));
-            this.current -= 1;
+            this.activeLoads += 1;
+            this.stats.loads += 1;
+            this.stats.mostAtOnce = Math.max(this.stats.mostAtOnce, this.activeLoads);
+            await delay(this.options.loadMs * Math.max(1, this.activeLoads / this.options.atOnce));
+            this.activeLoads -= 1;
             return { weights: "here" };
         });
-        this.app.get("/stand-in/facts", () => this.facts);
+        this.app.get("/stand-in/facts", () => this.stats);
     }
 
     public async listen(port: number, host = "127.0.0.1"): Promise<string> {
@@ -42,11 +42,11 @@
         await this.app.close();
     }
 
-    /** Twice the rate is let through in any one second: what leaves evenly may arrive bunched. */
-    private admit(): boolean {
+    /** Allows twice the rate within one second, since evenly sent requests may arrive in bursts. */
+    private tryAcquire(): boolean {
         const now = Date.now();
-        const lately = this.times.filter(time => now - time < 1000);
-        this.times.splice(0, this.times.length, ...lately, now);
-        return lately.length < Math.max(2, this.options.ratePerSecond * 2);
+        const recentTimes = this.requestTimes.filter(requestedAt => now - requestedAt < 1000);
+        this.requestTimes.splice(0, this.requestTimes.length, ...recentTimes, now);
+        return recentTimes.length < Math.max(2, this.options.ratePerSecond * 2);
     }
 }
--- a/packages/testing/src/tests/configuration.test.ts
+++ b/packages/testing/src/tests/configuration.test.ts
@@ -1,6 +1,6 @@
 import { expect } from "earl";
 import { afterEach, beforeEach, describe, it } from "node:test";
-import { chat, Deployment } from "../index.js";
+import { Deployment, sendChat } from "../index.js";
 
 function model(version: number): string {
     return `[[model]]\nname = "m"\nversion = "${version}"\nmemory = "1 GiB"\n`;
@@ -35,11 +35,11 @@
         return revision;
     }
 
-    it("is in force at processes that were down or frozen for hundreds of changes, within seconds", async () => {
-        await deployment.declare(model(1));
-        await deployment.untilReady();
-        const leader = await deployment.leader();
-        const [down, frozen] = deployment.entries.filter(entry => entry !== leader);
+    it("is applied within five seconds by processes that were down or suspended during 150 changes", async () => {
+        await deployment.applyManifests(model(1));
+        await deployment.waitUntilReady();
+        const leader = await deployment.findLeader();
+        const [down, suspended] = deployment.entries.filter(entry => entry !== leader);
         await down.process.kill();
         await deployment.restartEntry(down);
         const agent = deployment.upstream("e0").agent;
@@ -47,74 +47,74 @@
         agent.signal("SIGSTOP");
         const revision = await makeChanges(150);
         await deployment.restartEntry(down);
-        frozen.process.signal("SIGSTOP");
+        suspended.process.signal("SIGSTOP");
         await deployment.client.change({ changeId: "last", operator: "awa", items: [service(1000)] }, false);
         agent.signal("SIGCONT");
-        frozen.process.signal("SIGCONT");
-        const status = await deployment.untilStatus(
-            "in force everywhere",
+        suspended.process.signal("SIGCONT");
+        const status = await deployment.waitForStatus(
+            "applied everywhere",
             ({ behind, upstreams }) => behind.length === 0 && upstreams.length === 1,
             5000,
         );
         expect(status.revision > revision).toEqual(true);
     });
 
-    it("names the process that is behind", async () => {
-        await deployment.declare(model(1));
-        await deployment.untilReady();
-        const leader = await deployment.leader();
-        const frozen = deployment.entries.find(entry => entry !== leader)!;
-        frozen.process.signal("SIGSTOP");
-        await deployment.declare(model(2));
-        const status = await deployment.untilStatus(
+    it("reports which process is behind", async () => {
+        await deployment.applyManifests(model(1));
+        await deployment.waitUntilReady();
+        const leader = await deployment.findLeader();
+        const suspended = deployment.entries.find(entry => entry !== leader)!;
+        suspended.process.signal("SIGSTOP");
+        await deployment.applyManifests(model(2));
+        const status = await deployment.waitForStatus(
             "behind",
-            ({ behind }) => behind.some(name => name.startsWith(frozen.name)),
+            ({ behind }) => behind.some(name => name.startsWith(suspended.name)),
         );
-        expect(status.behind.some(name => name.startsWith(frozen.name))).toEqual(true);
-        frozen.process.signal("SIGCONT");
+        expect(status.behind.some(name => name.startsWith(suspended.name))).toEqual(true);
+        suspended.process.signal("SIGCONT");
     });
 
-    it("never runs as it was before: a thawed entry's old choice is refused or made anew", async () => {
-        await deployment.declare(model(1));
-        await deployment.untilReady();
-        const leader = await deployment.leader();
-        const frozen = deployment.entries.find(entry => entry !== leader)!;
-        frozen.process.signal("SIGSTOP");
-        await deployment.declare(model(2));
-        await deployment.untilStatus(
+    it("isn't undone by an entry that was suspended: a request through it doesn't load the old version", async () => {
+        await deployment.applyManifests(model(1));
+        await deployment.waitUntilReady();
+        const leader = await deployment.findLeader();
+        const suspended = deployment.entries.find(entry => entry !== leader)!;
+        suspended.process.signal("SIGSTOP");
+        await deployment.applyManifests(model(2));
+        await deployment.waitForStatus(
             "at version 2",
             ({ models }) => models[0].version === "2" && models[0].condition === "ready",
         );
-        const asked = chat(frozen.callers, "m", "which version", { tokens: 2 });
-        frozen.process.signal("SIGCONT");
-        const answer = await asked;
-        expect([answer.status, answer.whole]).toEqual([200, true]);
+        const pendingChat = sendChat(suspended.callersUrl, "m", "which version", { tokens: 2 });
+        suspended.process.signal("SIGCONT");
+        const answer = await pendingChat;
+        expect([answer.status, answer.isComplete]).toEqual([200, true]);
         const { events } = await deployment.client.timeline({ resource: "m@1" });
         const loads = (events as { kind: string; detail: string; }[]).filter(event => event.kind === "order.delivered");
         expect(loads.filter(event => event.detail.startsWith("load")).length).toEqual(1);
     });
 
-    it("is what an operator reads, also from an entry that was frozen meanwhile", async () => {
-        await deployment.declare(model(1));
-        await deployment.untilReady();
-        const leader = await deployment.leader();
-        const frozen = deployment.entries.find(entry => entry !== leader)!;
+    it("is what an operator reads, even from an entry that was suspended during the change", async () => {
+        await deployment.applyManifests(model(1));
+        await deployment.waitUntilReady();
+        const leader = await deployment.findLeader();
+        const suspended = deployment.entries.find(entry => entry !== leader)!;
         for (let version = 2; version <= 6; version++) {
-            frozen.process.signal("SIGSTOP");
-            await deployment.declare(model(version));
-            const reading = fetch(`${frozen.operators}/apis/v1/models/m`, {
+            suspended.process.signal("SIGSTOP");
+            await deployment.applyManifests(model(version));
+            const pendingRead = fetch(`${suspended.operatorsUrl}/apis/v1/models/m`, {
                 headers: { authorization: "Bearer a key for tests on loopback only" },
             });
-            frozen.process.signal("SIGCONT");
-            const res = await reading;
+            suspended.process.signal("SIGCONT");
+            const res = await pendingRead;
             const read = await res.json() as { spec?: { version: string; }; };
             expect(res.status === 503 || read.spec?.version === String(version)).toEqual(true);
         }
     });
 
-    it("gives racing operators one winner, and a conflict that names it", async () => {
+    it("accepts one of several concurrent changes, and names its operator in the conflict errors", async () => {
         const change = (changeId: string, entry: number, version: string) =>
-            fetch(`${deployment.entries[entry].operators}/apis/v1/changes`, {
+            fetch(`${deployment.entries[entry].operatorsUrl}/apis/v1/changes`, {
                 method: "POST",
                 headers: {
                     "content-type": "application/json",
@@ -141,10 +141,10 @@
         expect(refused.issues[0].message).toInclude(winner);
     });
 
-    it("answers a resent change as the first time, also by another leader", async () => {
+    it("returns the original result for a repeated change, even after a change of leader", async () => {
         const change = { changeId: "once", operator: "awa", items: [service(1)] };
         const first = await deployment.client.change(change, false);
-        const leader = await deployment.leader();
+        const leader = await deployment.findLeader();
         await leader.process.kill();
         const again = await deployment.client.change(change, false);
         expect(again).toEqual(first);
--- a/packages/testing/src/tests/examples.test.ts
+++ b/packages/testing/src/tests/examples.test.ts
@@ -5,7 +5,7 @@
 import { join } from "node:path";
 import { afterEach, describe, it } from "node:test";
 import { fileURLToPath } from "node:url";
-import { Deployment, runCommand } from "../index.js";
+import { Deployment, runCli } from "../index.js";
 
 const examples = fileURLToPath(new URL("../../../../examples", import.meta.url));
 
@@ -13,7 +13,7 @@
     const sizes = { "fibre-commune": [26, 64], "adumasa": [39, 95] };
 
     for (const [name, [models, adapters]] of Object.entries(sizes)) {
-        it(`of ${name} are sound, and at today's sizes`, () => {
+        it(`of ${name} are valid and have the expected sizes`, () => {
             const manifests = loadManifests(join(examples, name, "declarations")).unwrap();
             expect(manifests.filter(({ kind }) => kind === "Model").length).toEqual(models);
             expect(manifests.filter(({ kind }) => kind === "Adapter").length).toEqual(adapters);
@@ -25,17 +25,17 @@
     }
 });
 
-describe("the command line", () => {
+describe("the winchpath command", () => {
     let deployment: Deployment;
     afterEach(() => deployment.stop());
 
-    it("tries changes, makes them, shows them, and says by its exit code what came of it", async () => {
+    it("previews, applies and shows changes, and reports failures by its exit code", async () => {
         deployment = await Deployment.start({
             dataCentres: ["plateau", "pikine", "rufisque"],
             engines: [],
             services: [],
         });
-        const run = (...args: string[]) => runCommand(args, deployment.environment);
+        const run = (...args: string[]) => runCli(args, deployment.commandEnvironment);
         const folder = join(examples, "adumasa", "declarations");
         const dry = await run("apply", "-f", folder, "--dry-run");
         expect([dry.code, dry.stdout.includes("would be accepted")]).toEqual([0, true]);
--- a/packages/testing/src/tests/leaving.test.ts
+++ b/packages/testing/src/tests/leaving.test.ts
@@ -1,61 +1,61 @@
 import { expect } from "earl";
 import { afterEach, describe, it } from "node:test";
-import { type Deployment, type EngineFacts } from "../index.js";
-import { expectNothingCutOff, Load, noNewWorkMs, startLeavable } from "./loads.js";
+import { type Deployment, type EngineStats } from "../index.js";
+import { expectNoFailedRequests, maxDrainDelayMs, startRedundantDeployment, TrafficGenerator } from "./loads.js";
 
 describe("a planned stop", () => {
     let deployment: Deployment;
-    let load: Load | undefined;
+    let traffic: TrafficGenerator | undefined;
     afterEach(async () => {
-        await load?.stop();
+        await traffic?.stop();
         await deployment.stop();
     });
 
-    it("of an agent cuts nothing off, and brings it no new work after seconds, also for what lived only there", async () => {
-        deployment = await startLeavable();
-        load = new Load(deployment, 6);
-        const host = (await deployment.untilReady()).models.find(model => model.name === "m1")!.readyAt[0];
-        const leaver = deployment.upstream(host);
-        const toldAt = Date.now();
-        const code = await leaver.agent.stop();
+    it("of an agent fails no requests and moves its only replicas, and the agent receives no new requests after three seconds", async () => {
+        deployment = await startRedundantDeployment();
+        traffic = new TrafficGenerator(deployment, 6);
+        const host = (await deployment.waitUntilReady()).models.find(model => model.name === "m1")!.readyAt[0];
+        const upstream = deployment.upstream(host);
+        const stopRequestedAt = Date.now();
+        const code = await upstream.agent.stop();
         expect(code).toEqual(0);
-        await deployment.untilStatus(
-            "with m1 elsewhere",
+        await deployment.waitForStatus(
+            "m1 ready on another host",
             status =>
                 status.models.some(({ name, condition, readyAt }) =>
                     name === "m1" && condition === "ready" && !readyAt.includes(host)
                 ),
         );
-        await load.goOnAfter(toldAt);
-        await load.stop();
-        expectNothingCutOff(load);
-        const { lastStartedAt } = await deployment.facts<EngineFacts>(host);
-        expect(lastStartedAt - toldAt < noNewWorkMs).toEqual(true);
+        await traffic.runPastDrainDelay(stopRequestedAt);
+        await traffic.stop();
+        expectNoFailedRequests(traffic);
+        const { lastStartedAt } = await deployment.fetchStats<EngineStats>(host);
+        expect(lastStartedAt - stopRequestedAt < maxDrainDelayMs).toEqual(true);
     });
 
-    it("by a drain moves everything off, and brings no new work after seconds", async () => {
-        deployment = await startLeavable();
-        load = new Load(deployment, 6);
-        const host = (await deployment.untilReady()).models.find(model => model.name === "m1")!.readyAt[0];
-        const { items: none } = await deployment.client.list("Drain");
-        expect(none).toEqual([]);
-        const toldAt = Date.now();
+    it("by a drain moves every model elsewhere, and the host receives no new requests after three seconds", async () => {
+        deployment = await startRedundantDeployment();
+        traffic = new TrafficGenerator(deployment, 6);
+        const host = (await deployment.waitUntilReady()).models.find(model => model.name === "m1")!.readyAt[0];
+        const { items: drains } = await deployment.client.list("Drain");
+        expect(drains).toEqual([]);
+        const drainRequestedAt = Date.now();
         await deployment.client.change({
             changeId: "drain",
             operator: "awa",
             items: [{ op: "put", kind: "Drain", name: host, baseVersion: 0, spec: { reason: "new cards" } }],
         }, false);
-        await deployment.untilStatus(
-            "with all models elsewhere",
+        await deployment.waitForStatus(
+            "all models ready on other hosts",
             status =>
                 status.models.every(({ readyAt, wantedReplicas }) =>
                     readyAt.filter(name => name !== host).length >= wantedReplicas
                 ),
         );
-        await load.goOnAfter(toldAt);
-        await load.stop();
-        expectNothingCutOff(load);
-        const { lastStartedAt } = await deployment.facts<EngineFacts>(host);
-        expect(lastStartedAt - toldAt < noNewWorkMs).toEqual(true);
+        await traffic.runPastDrainDelay(drainRequestedAt);
+        await traffic.stop();
+        expectNoFailedRequests(traffic);
+        const { lastStartedAt } = await deployment.fetchStats<EngineStats>(host);
+        expect(lastStartedAt - drainRequestedAt < maxDrainDelayMs).toEqual(true);
     });
 });
--- a/packages/testing/src/tests/loads.ts
+++ b/packages/testing/src/tests/loads.ts
@@ -1,11 +1,11 @@
-/** A deployment with callers behind a balancer, and what a planned stop must not do to them. */
+/** Background traffic and assertions for the tests of graceful shutdown. */
 import { sleep } from "@winchpath/core";
 import { expect } from "earl";
-import { book, type BookingAnswer, chat, type ChatAnswer, Deployment, type EntryHost } from "../index.js";
+import { type BookingResult, type ChatResult, createBooking, Deployment, type EntryHost, sendChat } from "../index.js";
 
-/** Well after a leaver was told to go, in milliseconds: no new work may reach it any more. */
-export const noNewWorkMs = 3000;
-const declarations = `
+/** How long after a stop or drain was requested an upstream may still receive new requests, in milliseconds. */
+export const maxDrainDelayMs = 3000;
+const manifests = `
 [[model]]
 name = "m0"
 version = "1"
@@ -21,66 +21,66 @@
 name = "booking-api"
 `;
 
-/** Callers behind a balancer: each goes to an entry that says it is ready, and keeps no connection. */
-export class Load {
-    public readonly chats: ChatAnswer[] = [];
-    public readonly bookings: BookingAnswer[] = [];
-    /** Connections that were cut. */
-    public readonly cuts: string[] = [];
-    private stopped = false;
+/** Callers behind a load balancer: each request goes to the next entry whose readiness check passes. */
+export class TrafficGenerator {
+    public readonly chats: ChatResult[] = [];
+    public readonly bookings: BookingResult[] = [];
+    /** Requests that failed without a response. */
+    public readonly connectionErrors: string[] = [];
+    private isStopped = false;
     private readonly tasks: Promise<void>[];
-    private turn = 0;
+    private nextEntryIndex = 0;
 
     public constructor(private readonly deployment: Deployment, callers: number) {
-        this.tasks = Array.from({ length: callers }, (_, caller) => this.run(caller));
+        this.tasks = Array.from({ length: callers }, (_, caller) => this.runCaller(caller));
     }
 
-    /** Returns after so many more chats have ended. */
-    public async more(count: number): Promise<void> {
-        const goal = this.chats.length + count;
-        while (this.chats.length < goal) {
+    /** Waits until `count` more chats have ended. */
+    public async waitForChats(count: number): Promise<void> {
+        const target = this.chats.length + count;
+        while (this.chats.length < target) {
             await sleep(20);
         }
     }
 
-    /** Goes on until well after the time at which no new work may reach a leaver. */
-    public async goOnAfter(toldAt: number): Promise<void> {
-        while (Date.now() < toldAt + noNewWorkMs + 2000) {
-            await this.more(5);
+    /** Keeps the traffic running until two seconds after the stopping upstream must receive no new requests. */
+    public async runPastDrainDelay(stopRequestedAt: number): Promise<void> {
+        while (Date.now() < stopRequestedAt + maxDrainDelayMs + 2000) {
+            await this.waitForChats(5);
         }
     }
 
     public async stop(): Promise<void> {
-        this.stopped = true;
+        this.isStopped = true;
         await Promise.all(this.tasks);
     }
 
-    private async run(caller: number): Promise<void> {
-        for (let number = 0; !this.stopped; number++) {
-            const entry = await this.readyEntry();
+    private async runCaller(caller: number): Promise<void> {
+        for (let number = 0; !this.isStopped; number++) {
+            const entry = await this.pickReadyEntry();
             const id = `${caller}-${number}`;
             try {
-                await this.ask(entry, caller, id);
+                await this.sendRequest(entry, caller, id);
             }
             catch (err) {
-                this.cuts.push(`${id} at ${entry.name} at ${new Date().toISOString()}: ${String(err)}`);
+                this.connectionErrors.push(`${id} at ${entry.name} at ${new Date().toISOString()}: ${String(err)}`);
             }
         }
     }
 
-    private async ask(entry: EntryHost, caller: number, id: string): Promise<void> {
+    private async sendRequest(entry: EntryHost, caller: number, id: string): Promise<void> {
         if (caller % 3 === 0) {
-            this.bookings.push(await book(entry.callers, id, id, 30));
+            this.bookings.push(await createBooking(entry.callersUrl, id, id, 30));
         }
         else {
-            this.chats.push(await chat(entry.callers, `m${caller % 2}`, `q${id}`, { tokens: 40 }));
+            this.chats.push(await sendChat(entry.callersUrl, `m${caller % 2}`, `q${id}`, { tokens: 40 }));
         }
     }
 
-    private async readyEntry(): Promise<EntryHost> {
+    private async pickReadyEntry(): Promise<EntryHost> {
         for (;;) {
-            const entry = this.deployment.entries[this.turn++ % this.deployment.entries.length];
-            const res = await fetch(`${entry.operators}/readyz`).catch(() => undefined);
+            const entry = this.deployment.entries[this.nextEntryIndex++ % this.deployment.entries.length];
+            const res = await fetch(`${entry.operatorsUrl}/readyz`).catch(() => undefined);
             if (res?.ok) {
                 return entry;
             }
@@ -89,8 +89,8 @@
     }
 }
 
-/** Three entries, three engines and two copies of a service, with everything ready. */
-export async function startLeavable(): Promise<Deployment> {
+/** Starts three entries, three engines and two instances of a service, and waits until all are ready. */
+export async function startRedundantDeployment(): Promise<Deployment> {
     const deployment = await Deployment.start({
         dataCentres: ["plateau", "pikine", "rufisque"],
         engines: ["e0", "e1", "e2"].map(name => ({
@@ -102,18 +102,18 @@
         services: ["s0", "s1"].map(name => ({ name, dataCentre: "plateau", service: "booking-api" })),
         entrySettings: "[placement]\nstoreRate = 10",
     });
-    await deployment.declare(declarations);
-    await deployment.untilReady();
+    await deployment.applyManifests(manifests);
+    await deployment.waitUntilReady();
     return deployment;
 }
 
-/** All answers came whole, and there were some. */
-export function expectNothingCutOff(load: Load): void {
+/** Checks that every request succeeded, and that there was enough traffic. */
+export function expectNoFailedRequests(traffic: TrafficGenerator): void {
     const failures = [
-        ...load.chats.filter(({ whole }) => !whole),
-        ...load.bookings.filter(({ status }) => status !== 200),
+        ...traffic.chats.filter(({ isComplete }) => !isComplete),
+        ...traffic.bookings.filter(({ status }) => status !== 200),
     ];
     expect(failures).toEqual([]);
-    expect(load.cuts).toEqual([]);
-    expect(load.chats.length > 20).toEqual(true);
+    expect(traffic.connectionErrors).toEqual([]);
+    expect(traffic.chats.length > 20).toEqual(true);
 }
--- a/packages/testing/src/tests/restarting.test.ts
+++ b/packages/testing/src/tests/restarting.test.ts
@@ -1,50 +1,57 @@
 import { Deferred } from "@winchpath/core";
 import { expect } from "earl";
 import { afterEach, describe, it } from "node:test";
-import { book, chat, type ChatAnswer, type Deployment, type EntryHost, type ServiceFacts } from "../index.js";
-import { expectNothingCutOff, Load, startLeavable } from "./loads.js";
+import {
+    type ChatResult,
+    createBooking,
+    type Deployment,
+    type EntryHost,
+    sendChat,
+    type ServiceStats,
+} from "../index.js";
+import { expectNoFailedRequests, startRedundantDeployment, TrafficGenerator } from "./loads.js";
 
 describe("a planned stop", () => {
     let deployment: Deployment;
-    let load: Load | undefined;
+    let traffic: TrafficGenerator | undefined;
     afterEach(async () => {
-        await load?.stop();
+        await traffic?.stop();
         await deployment.stop();
     });
 
-    /** A chat of over three seconds, once its first token has come. */
-    async function begunChat(entry: EntryHost): Promise<{ answer: Promise<ChatAnswer>; }> {
-        const begun = new Deferred<void>();
-        const answer = chat(entry.callers, "m0", `long at ${entry.name}`, {
+    /** Starts a chat that takes more than three seconds; returns after its first token. */
+    async function startLongChat(entry: EntryHost): Promise<{ answer: Promise<ChatResult>; }> {
+        const firstToken = new Deferred<void>();
+        const answer = sendChat(entry.callersUrl, "m0", `long at ${entry.name}`, {
             tokens: 700,
-            onToken: () => begun.resolve(),
+            onToken: () => firstToken.resolve(),
         });
-        await begun.promise;
+        await firstToken.promise;
         return { answer };
     }
 
     it("of every process, one after the other, under load, cuts nothing off", async () => {
-        deployment = await startLeavable();
-        load = new Load(deployment, 6);
+        deployment = await startRedundantDeployment();
+        traffic = new TrafficGenerator(deployment, 6);
         for (const entry of deployment.entries) {
-            const long = await begunChat(entry);
+            const long = await startLongChat(entry);
             expect(await entry.process.stop()).toEqual(0);
-            expect((await long.answer).whole).toEqual(true);
+            expect((await long.answer).isComplete).toEqual(true);
             await deployment.restartEntry(entry);
         }
         for (const upstream of deployment.upstreams) {
             const long = [0, 1, 2].map(number =>
-                book(deployment.entries[number].callers, `long-${upstream.name}-${number}`, undefined, 2500)
+                createBooking(deployment.entries[number].callersUrl, `long-${upstream.name}-${number}`, undefined, 2500)
             );
             expect(await upstream.agent.stop()).toEqual(0);
             expect((await Promise.all(long)).map(({ status }) => status)).toEqual([200, 200, 200]);
             await deployment.restartAgent(upstream);
-            await deployment.untilReady();
+            await deployment.waitUntilReady();
         }
-        await load.stop();
-        expectNothingCutOff(load);
-        const facts = await Promise.all(["s0", "s1"].map(name => deployment.facts<ServiceFacts>(name)));
-        const counts = facts.flatMap(({ bookings }) => Object.values(bookings));
+        await traffic.stop();
+        expectNoFailedRequests(traffic);
+        const stats = await Promise.all(["s0", "s1"].map(name => deployment.fetchStats<ServiceStats>(name)));
+        const counts = stats.flatMap(({ bookings }) => Object.values(bookings));
         expect(counts.every(count => count === 1)).toEqual(true);
     });
 });
--- a/packages/testing/src/tests/session.test.ts
+++ b/packages/testing/src/tests/session.test.ts
@@ -2,17 +2,17 @@
 import { readFile, writeFile } from "node:fs/promises";
 import { describe, it } from "node:test";
 import { fileURLToPath } from "node:url";
-import { runSession, sessionSpec } from "../demo/sessions.js";
+import { demoSpec, runDemo } from "../demo/sessions.js";
 import { Deployment } from "../index.js";
 
 const golden = fileURLToPath(new URL("../../golden/session.txt", import.meta.url));
 
-describe("a whole session with real processes", () => {
-    it("goes as the golden file says (UPDATE_GOLDEN=1 writes it anew)", async () => {
-        const deployment = await Deployment.start(sessionSpec);
+describe("the demo with real processes", () => {
+    it("prints the output in the golden file (UPDATE_GOLDEN=1 updates it)", async () => {
+        const deployment = await Deployment.start(demoSpec);
         const lines: string[] = [];
         try {
-            await runSession(deployment, line => lines.push(line));
+            await runDemo(deployment, line => lines.push(line));
         }
         finally {
             await deployment.stop();
--- a/scripts/bundle.mjs
+++ b/scripts/bundle.mjs
@@ -1,7 +1,6 @@
 /**
- * Builds the platform's program under target/, straight from the sources: one
- * script, of which what only one role needs is executed only there, with a cache
- * of its compiled code. Names are kept, so that stack traces in logs can be read.
+ * Bundles the platform's program from the sources into target/, with a V8 code cache. Modules that only one role needs
+ * run only in that role. Identifiers are not minified, so that stack traces stay readable.
  */
 import { build } from "esbuild";
 import { execFileSync } from "node:child_process";
@@ -11,14 +10,14 @@
 
 const root = join(dirname(fileURLToPath(import.meta.url)), "..");
 
-/** Resolves the workspace's own packages to their sources. */
+/** Resolves workspace packages to their TypeScript sources. */
 const workspace = {
     name: "workspace",
     setup(bundle) {
         bundle.onResolve({ filter: /^@winchpath\// }, ({ path }) => {
             const name = path.slice("@winchpath/".length);
             const folder = name === "platform" ? join(root, name) : join(root, "packages", name);
-            // Nothing here acts at its import but the program's own first module, so what is not used can go.
+            // Packages have no side effects on import, so unused modules can be dropped.
             return { path: join(folder, "src", "index.ts"), sideEffects: false };
         });
         bundle.onResolve({ filter: /^\.\.?\/.*\.js$/ }, ({ path, resolveDir }) => {
@@ -26,7 +25,7 @@
             const acts = source.endsWith("/signals.ts") || source.endsWith("/launch.ts");
             return existsSync(source) ? { path: source, sideEffects: acts } : undefined;
         });
-        // It is CommonJS behind a flag of ES modules, by which its default export would be lost.
+        // ts-results is CommonJS marked as an ES module; without this, its default export is lost.
         bundle.onResolve({ filter: /^ts-results$/ }, ({ path }) => ({ path, namespace: "default-export" }));
         bundle.onLoad({ filter: /.*/, namespace: "default-export" }, () => ({
             contents: "import * as all from \"./node_modules/ts-results/esm/index.js\"; export default all;",
@@ -36,9 +35,8 @@
 };
 
 /**
- * What the program uses of libraries that bring far more: fetch, caches and web sockets of the
- * HTTP client, readers and writers of logs of the histograms, compilers of schemas that no
- * listener declares. Their loading took about a third of the processor time of a start.
+ * Replacements for large libraries that expose only the parts in use, to shorten the start: undici without fetch, caches
+ * and WebSockets, the histograms without log readers and writers, and no JSON schema compilers, as no route has a schema.
  */
 const usedParts = {
     "undici": `
@@ -84,13 +82,13 @@
     minifySyntax: true,
     sourcemap: false,
     legalComments: "none",
-    // ES modules in the bundle may ask where they are.
+    // CommonJS output has no import.meta.url; the banner defines its replacement.
     define: { "import.meta.url": "moduleUrl" },
     banner: { js: "const moduleUrl = require(\"node:url\").pathToFileURL(__filename).href;" },
     plugins: [workspace, libraryParts],
     logLevel: "warning",
 });
 
-// The flags of deploy/system.toml: a cache holds for a process with the same ones.
+// Must equal the flags in deploy/system.toml: V8 rejects a code cache that was created with other flags.
 const flags = ["--single-threaded", "--max-old-space-size=160", "--max-semi-space-size=2"];
 execFileSync(process.execPath, [...flags, join(root, "scripts/codecache.mjs")], { stdio: "inherit" });
--- a/scripts/codecache.mjs
+++ b/scripts/codecache.mjs
@@ -1,6 +1,6 @@
 /**
- * Writes the code cache of the bundled program: `node FLAGS codecache.mjs`, with the
- * flags that the program is run with, since a cache holds for those only.
+ * Writes the V8 code cache of the bundled program. Run it with the program's own flags (`node FLAGS codecache.mjs`): V8
+ * rejects a cache that was created with other flags.
  */
 import { writeFileSync } from "node:fs";
 import { createRequire } from "node:module";
--- a/scripts/generate.sh
+++ b/scripts/generate.sh
@@ -1,5 +1,5 @@
 #!/usr/bin/env bash
-# Generates TypeScript from every slice's .proto files into its src/gen folder.
+# Generates TypeScript from each package's .proto files into its src/gen folder.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 for dir in packages/*/proto; do
--- a/scripts/knownred.mjs
+++ b/scripts/knownred.mjs
@@ -1,7 +1,6 @@
 /**
- * Judges a failed run of the tests: `node knownred.mjs REPORT`. It passes where
- * every test that failed stands in KNOWN-RED.txt (a line each: name | cause |
- * issue), and prints them; anything else that failed fails the run.
+ * Checks the report of a failed test run: `node knownred.mjs REPORT`. Prints the failed tests, and exits with 0 if all of
+ * them are listed in KNOWN-RED.txt (one per line: name | cause | issue), with 1 otherwise.
  */
 import { existsSync, readFileSync } from "node:fs";
 import { fileURLToPath } from "node:url";
@@ -16,6 +15,6 @@
 const failed = [...failing.matchAll(/^✖ (.*) \([\d.]+ms\)$/gmu)].map(match => match[1]);
 const unknown = failed.filter(name => !known.includes(name));
 
-failed.filter(name => known.includes(name)).forEach(name => console.log(`known red: ${name}`));
-unknown.forEach(name => console.log(`red: ${name}`));
+failed.filter(name => known.includes(name)).forEach(name => console.log(`known failure: ${name}`));
+unknown.forEach(name => console.log(`failure: ${name}`));
 process.exitCode = failed.length > 0 && unknown.length === 0 ? 0 : 1;
--- a/scripts/test.sh
+++ b/scripts/test.sh
@@ -1,5 +1,5 @@
 #!/usr/bin/env bash
-# Runs every compiled test file with Node's test runner. Only tests that KNOWN-RED.txt lists may fail; they are printed.
+# Runs all compiled test files with Node's test runner. Failures listed in KNOWN-RED.txt are printed, and don't fail the run.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 mapfile -t files < <(find packages/*/dist platform/dist platform/testing/dist -name "*.test.js" | sort)
